--- a/crates/node/src/entry/trial.rs
+++ b/crates/node/src/entry/trial.rs
@@ -5,7 +5,7 @@
 
 use eelgrassmill_base::{Epoch, GroupId, HostId, HostReport, Incarnation};
 use eelgrassmill_group::GroupPhase;
-use eelgrassmill_route::{Judgement, RequestPrint, request_print};
+use eelgrassmill_route::{RequestFingerprint, SuspectStatus, request_fingerprint};
 use eelgrassmill_timeline::EventKind;
 use http::StatusCode;
 use smol_str::SmolStr;
@@ -23,16 +23,20 @@
 const NEWS_PAUSE: Duration = Duration::from_millis(250);
 
 /// The fingerprint of a call.
-pub(crate) fn print_of(call: &Call) -> RequestPrint {
+pub(crate) fn print_of(call: &Call) -> RequestFingerprint {
     let body = String::from_utf8_lossy(&call.body);
-    request_print(&call.tenant, &call.service, &body)
+    request_fingerprint(&call.tenant, &call.service, &body)
 }
 
 /// Whether the call is a suspect, which runs apart from other suspects; waits for news of it.
 ///
 /// # Errors
 /// When it is named as a culprit: it is refused at every entry.
-pub(crate) async fn check(core: &Core, call: &Call, print: RequestPrint) -> Result<bool, Problem> {
+pub(crate) async fn check(
+    core: &Core,
+    call: &Call,
+    print: RequestFingerprint,
+) -> Result<bool, Problem> {
     if !look(core, call, print)? {
         return Ok(false);
     }
@@ -40,16 +44,16 @@
     look(core, call, print)
 }
 
-fn look(core: &Core, call: &Call, print: RequestPrint) -> Result<bool, Problem> {
+fn look(core: &Core, call: &Call, print: RequestFingerprint) -> Result<bool, Problem> {
     let now = Instant::now();
     let (judgement, crashes) = {
         let guard = lock(&core.guard);
         (guard.judge(print, now), guard.deaths_of(print, now))
     };
     match judgement {
-        Judgement::Clear => Ok(false),
-        Judgement::Suspect => Ok(true),
-        Judgement::Culprit { retry_after } => {
+        SuspectStatus::Clear => Ok(false),
+        SuspectStatus::Suspect => Ok(true),
+        SuspectStatus::Quarantined { retry_after } => {
             core.journal.note(EventKind::SuspectNamed {
                 request: call.id.clone(),
                 crashes,
@@ -64,7 +68,7 @@
 /// A run that has begun; a trial ends when this is dropped.
 pub(crate) struct Run {
     core: Arc<Core>,
-    print: RequestPrint,
+    print: RequestFingerprint,
     group: GroupId,
     epoch: Epoch,
     host: HostId,
@@ -82,7 +86,7 @@
     /// tell which of the two killed it.
     pub(crate) fn begin(
         core: &Arc<Core>,
-        print: RequestPrint,
+        print: RequestFingerprint,
         suspect: bool,
         at: (&GroupId, Epoch),
         host: (&HostId, &SmolStr),
--- a/crates/node/src/state/guard.rs
+++ b/crates/node/src/state/guard.rs
@@ -6,8 +6,8 @@
 use eelgrassmill_base::{Epoch, FailureDomain, GroupId, NodeId};
 use eelgrassmill_peer::{Item, Suspect};
 use eelgrassmill_route::{
-    ClearedRecord, DEATH_LIFE, DeathId, DeathRecord, Judgement, RequestPrint, SuspectNews,
-    Suspects, TrialRecord, death_id,
+    CRASH_TTL, ClearedRecord, CrashId, CrashRecord, RequestFingerprint, SuspectStatus,
+    SuspectTracker, SuspectUpdate, TrialRecord, crash_id,
 };
 use serde::{Deserialize, Serialize};
 use smol_str::format_smolstr;
@@ -19,66 +19,66 @@
 #[derive(Serialize, Deserialize)]
 enum News {
     Death {
-        id: DeathId,
+        id: CrashId,
         domain: FailureDomain,
-        running: Vec<RequestPrint>,
+        running: Vec<RequestFingerprint>,
     },
     State {
         /// With their ages in milliseconds.
-        cleared: Vec<(RequestPrint, u64)>,
-        trials: Vec<(RequestPrint, GroupId)>,
+        cleared: Vec<(RequestFingerprint, u64)>,
+        trials: Vec<(RequestFingerprint, GroupId)>,
     },
 }
 
 struct OwnDeath {
     domain: FailureDomain,
     at: Instant,
-    running: BTreeSet<RequestPrint>,
+    running: BTreeSet<RequestFingerprint>,
 }
 
 /// What this node knows and tells of suspects.
 #[derive(Default)]
 pub(crate) struct Guard {
-    suspects: Suspects,
+    suspects: SuspectTracker,
     /// What this node itself saw; only that is told, so that news don't go in circles.
-    own: BTreeMap<DeathId, OwnDeath>,
+    own: BTreeMap<CrashId, OwnDeath>,
     /// Trials that other nodes told of last.
-    heard: BTreeMap<NodeId, Vec<(RequestPrint, GroupId)>>,
+    heard: BTreeMap<NodeId, Vec<(RequestFingerprint, GroupId)>>,
     untold: bool,
 }
 
 impl Guard {
-    pub(crate) fn judge(&self, print: RequestPrint, now: Instant) -> Judgement {
-        self.suspects.judge(print, now)
+    pub(crate) fn judge(&self, fingerprint: RequestFingerprint, now: Instant) -> SuspectStatus {
+        self.suspects.status(fingerprint, now)
     }
 
     /// Groups that a suspect has to keep away from.
     pub(crate) fn on_trial(&self, now: Instant) -> Vec<GroupId> {
-        self.suspects.on_trial(now).cloned().collect()
+        self.suspects.groups_on_trial(now).cloned().collect()
     }
 
     pub(crate) fn begin_trial(
         &mut self,
-        print: RequestPrint,
+        fingerprint: RequestFingerprint,
         group: &GroupId,
         now: Instant,
     ) -> bool {
-        let began = self.suspects.begin_trial(print, group, now);
+        let began = self.suspects.begin_trial(fingerprint, group, now);
         self.untold |= began;
         began
     }
 
-    pub(crate) fn end_trial(&mut self, print: RequestPrint, group: &GroupId) {
-        self.suspects.end_trial(print, group);
+    pub(crate) fn end_trial(&mut self, fingerprint: RequestFingerprint, group: &GroupId) {
+        self.suspects.end_trial(fingerprint, group);
         self.untold = true;
     }
 
     /// A request ran to its end.
-    pub(crate) fn survived(&mut self, print: RequestPrint, now: Instant) {
-        if self.suspects.judge(print, now) != Judgement::Clear {
+    pub(crate) fn survived(&mut self, fingerprint: RequestFingerprint, now: Instant) {
+        if self.suspects.status(fingerprint, now) != SuspectStatus::Clear {
             self.untold = true;
         }
-        self.suspects.on_survived(print, now);
+        self.suspects.on_completed(fingerprint, now);
     }
 
     /// An epoch of a group died with `running` on it; gives in how many deaths each was.
@@ -87,13 +87,13 @@
         group: &GroupId,
         epoch: Epoch,
         domain: &FailureDomain,
-        running: RequestPrint,
+        running: RequestFingerprint,
         now: Instant,
     ) -> u32 {
-        self.suspects.on_death(group, epoch, domain, [running], now);
+        self.suspects.on_crash(group, epoch, domain, [running], now);
         self.own
-            .retain(|_, d| now.saturating_duration_since(d.at) < DEATH_LIFE);
-        let death = self.own.entry(death_id(group, epoch));
+            .retain(|_, d| now.saturating_duration_since(d.at) < CRASH_TTL);
+        let death = self.own.entry(crash_id(group, epoch));
         let death = death.or_insert_with(|| OwnDeath {
             domain: domain.clone(),
             at: now,
@@ -105,20 +105,28 @@
     }
 
     /// Deaths known in which the request was running.
-    pub(crate) fn deaths_of(&self, print: RequestPrint, now: Instant) -> u32 {
+    pub(crate) fn deaths_of(&self, fingerprint: RequestFingerprint, now: Instant) -> u32 {
         let news = self.suspects.export(now);
-        let with = news.deaths.iter().filter(|d| d.running.contains(&print));
+        let with = news
+            .crashes
+            .iter()
+            .filter(|d| d.running.contains(&fingerprint));
         with.count() as u32
     }
 
     /// Each suspect with its deaths, for operators.
-    pub(crate) fn listed(&self, now: Instant) -> Vec<(RequestPrint, u32, bool)> {
+    pub(crate) fn listed(&self, now: Instant) -> Vec<(RequestFingerprint, u32, bool)> {
         let news = self.suspects.export(now);
-        let mut deaths: BTreeMap<RequestPrint, u32> = BTreeMap::new();
-        for print in news.deaths.iter().flat_map(|d| &d.running) {
-            *deaths.entry(*print).or_default() += 1;
+        let mut deaths: BTreeMap<RequestFingerprint, u32> = BTreeMap::new();
+        for fingerprint in news.crashes.iter().flat_map(|d| &d.running) {
+            *deaths.entry(*fingerprint).or_default() += 1;
         }
-        let named = |print| matches!(self.suspects.judge(print, now), Judgement::Culprit { .. });
+        let named = |fingerprint| {
+            matches!(
+                self.suspects.status(fingerprint, now),
+                SuspectStatus::Quarantined { .. }
+            )
+        };
         let listed = deaths.into_iter().map(|(p, n)| (p, n, named(p)));
         listed.collect()
     }
@@ -137,22 +145,22 @@
                 running: death.running.iter().copied().take(MAX_TOLD).collect(),
             };
             let name = format_smolstr!("death-{id:016x}");
-            items.extend(item(name, &news).map(|i| (i, DEATH_LIFE.saturating_sub(age))));
+            items.extend(item(name, &news).map(|i| (i, CRASH_TTL.saturating_sub(age))));
         }
         let all = self.suspects.export(now);
         let cleared = all.cleared.iter().take(MAX_TOLD / 2);
         let news = News::State {
             cleared: cleared
-                .map(|c| (c.print, c.age.as_millis() as u64))
+                .map(|c| (c.fingerprint, c.age.as_millis() as u64))
                 .collect(),
             trials: all
                 .trials
                 .into_iter()
                 .take(MAX_TOLD / 4)
-                .map(|t| (t.print, t.group))
+                .map(|t| (t.fingerprint, t.group))
                 .collect(),
         };
-        items.extend(item("state".into(), &news).map(|i| (i, DEATH_LIFE)));
+        items.extend(item("state".into(), &news).map(|i| (i, CRASH_TTL)));
         items
     }
 
@@ -162,13 +170,13 @@
             return;
         };
         let age = now.saturating_duration_since(as_of);
-        let mut taken = SuspectNews::default();
+        let mut taken = SuspectUpdate::default();
         match news {
             News::Death {
                 id,
                 domain,
                 running,
-            } => taken.deaths.push(DeathRecord {
+            } => taken.crashes.push(CrashRecord {
                 id,
                 failure_domain: domain,
                 age,
@@ -178,25 +186,25 @@
                 self.end_heard(from, &trials);
                 taken
                     .cleared
-                    .extend(cleared.into_iter().map(|(print, ms)| ClearedRecord {
-                        print,
+                    .extend(cleared.into_iter().map(|(fingerprint, ms)| ClearedRecord {
+                        fingerprint,
                         age: age + Duration::from_millis(ms),
                     }));
                 let trials = trials.into_iter();
                 taken
                     .trials
-                    .extend(trials.map(|(print, group)| TrialRecord { print, group }));
+                    .extend(trials.map(|(fingerprint, group)| TrialRecord { fingerprint, group }));
             }
         }
-        self.suspects.import(taken, now);
+        self.suspects.merge(taken, now);
     }
 
     /// Ends the trials that a node no longer tells of.
-    fn end_heard(&mut self, from: &NodeId, trials: &[(RequestPrint, GroupId)]) {
+    fn end_heard(&mut self, from: &NodeId, trials: &[(RequestFingerprint, GroupId)]) {
         let before = self.heard.insert(from.clone(), trials.to_vec());
-        for (print, group) in before.unwrap_or_default() {
-            if !trials.contains(&(print, group.clone())) {
-                self.suspects.end_trial(print, &group);
+        for (fingerprint, group) in before.unwrap_or_default() {
+            if !trials.contains(&(fingerprint, group.clone())) {
+                self.suspects.end_trial(fingerprint, &group);
             }
         }
     }
--- a/crates/route/examples/killer.rs
+++ b/crates/route/examples/killer.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::GroupId;
-use eelgrassmill_route::{Judgement, Suspects};
+use eelgrassmill_route::{SuspectStatus, SuspectTracker};
 
 const GROUPS: usize = 8;
 const KILLER: u64 = 0;
@@ -18,7 +18,7 @@
 const ROUNDS: usize = 200;
 
 struct Request {
-    print: u64,
+    fingerprint: u64,
     tries: u32,
 }
 
@@ -31,7 +31,7 @@
 }
 
 struct Fleet {
-    suspects: Option<Suspects>,
+    suspects: Option<SuspectTracker>,
     groups: Vec<(GroupId, u64, usize, Vec<Request>)>,
     waiting: VecDeque<Request>,
     sends: u32,
@@ -40,13 +40,16 @@
 }
 
 impl Fleet {
-    fn new(in_flight: u64, suspects: Option<Suspects>) -> Fleet {
+    fn new(in_flight: u64, suspects: Option<SuspectTracker>) -> Fleet {
         let group = |i: usize| (GroupId::from(format!("draft/{i}")), 1, 0, Vec::new());
         Fleet {
             suspects,
             groups: (0..GROUPS).map(group).collect(),
             waiting: (0..in_flight)
-                .map(|print| Request { print, tries: 0 })
+                .map(|fingerprint| Request {
+                    fingerprint,
+                    tries: 0,
+                })
                 .collect(),
             sends: 1,
             now: Instant::now(),
@@ -81,25 +84,25 @@
                 .filter(|_| req.tries < MAX_TRIES)
                 .ok_or(req.tries >= MAX_TRIES);
         };
-        match suspects.judge(req.print, now) {
-            Judgement::Culprit { .. } => Err(true),
-            Judgement::Clear => self.groups.iter().position(live).ok_or(false),
-            Judgement::Suspect => {
+        match suspects.status(req.fingerprint, now) {
+            SuspectStatus::Quarantined { .. } => Err(true),
+            SuspectStatus::Clear => self.groups.iter().position(live).ok_or(false),
+            SuspectStatus::Suspect => {
                 let free = |g: &(GroupId, u64, usize, Vec<Request>)| {
-                    live(g) && suspects.may_try(&g.0, now)
+                    live(g) && suspects.may_begin_trial(&g.0, now)
                 };
                 let group = self.groups.iter().position(free).ok_or(false)?;
-                suspects.begin_trial(req.print, &self.groups[group].0, now);
+                suspects.begin_trial(req.fingerprint, &self.groups[group].0, now);
                 Ok(group)
             }
         }
     }
 
     fn send_again(&mut self, req: Request) {
-        if req.print == KILLER && self.sends < KILLER_SENDS {
+        if req.fingerprint == KILLER && self.sends < KILLER_SENDS {
             self.sends += 1;
             self.waiting.push_back(Request {
-                print: KILLER,
+                fingerprint: KILLER,
                 tries: 0,
             });
         }
@@ -109,7 +112,7 @@
         self.now += ROUND;
         for i in 0..GROUPS {
             let running = std::mem::take(&mut self.groups[i].3);
-            match running.iter().any(|r| r.print == KILLER) {
+            match running.iter().any(|r| r.fingerprint == KILLER) {
                 true => self.lose(i, running, round),
                 false => self.answer(i, running),
             }
@@ -120,12 +123,12 @@
         self.out.lost += 1;
         let (id, epoch, up, _) = &mut self.groups[i];
         if let Some(suspects) = &mut self.suspects {
-            let prints = running.iter().map(|r| r.print);
-            suspects.on_death(
+            let fingerprints = running.iter().map(|r| r.fingerprint);
+            suspects.on_crash(
                 id,
                 *epoch,
                 &format!("domain-{}", i % 3).into(),
-                prints,
+                fingerprints,
                 self.now,
             );
         }
@@ -142,14 +145,14 @@
         for req in running {
             self.out.answered += 1;
             if let Some(suspects) = &mut self.suspects {
-                suspects.end_trial(req.print, &self.groups[i].0);
-                suspects.on_survived(req.print, self.now);
+                suspects.end_trial(req.fingerprint, &self.groups[i].0);
+                suspects.on_completed(req.fingerprint, self.now);
             }
         }
     }
 }
 
-fn simulate(in_flight: u64, suspects: Option<Suspects>) -> Outcome {
+fn simulate(in_flight: u64, suspects: Option<SuspectTracker>) -> Outcome {
     let mut fleet = Fleet::new(in_flight, suspects);
     for round in 0..ROUNDS {
         if fleet.waiting.is_empty() {
@@ -165,7 +168,7 @@
 fn main() {
     println!("in flight | policy   | groups lost | innocents answered | rounds");
     for in_flight in [1, 8, 30] {
-        for (name, suspects) in [("apart", Some(Suspects::default())), ("blind", None)] {
+        for (name, suspects) in [("apart", Some(SuspectTracker::default())), ("blind", None)] {
             let out = simulate(in_flight, suspects);
             println!(
                 "{in_flight:9} | {name:8} | {:11} | {:>9} of {:<6} | {}",
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -24,6 +24,7 @@
 };
 pub use crate::retry::{MAX_ATTEMPTS, NoRetry, RetryBudget, backoff, may_retry};
 pub use crate::suspects::{
-    COMMON_CAUSE_WINDOW, CULPRIT_TERM, ClearedRecord, DEATH_LIFE, DeathId, DeathRecord, Judgement,
-    RequestPrint, SuspectNews, Suspects, TrialRecord, death_id, request_print,
+    COMMON_CAUSE_WINDOW, CRASH_TTL, ClearedRecord, CrashId, CrashRecord, QUARANTINE_TERM,
+    RequestFingerprint, SuspectStatus, SuspectTracker, SuspectUpdate, TrialRecord, crash_id,
+    request_fingerprint,
 };
