--- a/crates/node/src/entry/addresses.rs
+++ b/crates/node/src/entry/addresses.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use eelgrassmill_config::{Config, Tenant};
-use eelgrassmill_route::{AddressAnswer, EntryView, LoadBand, choose_addresses};
+use eelgrassmill_route::{AddressList, EntryView, LoadLevel, choose_addresses};
 use http::request::Parts;
 use http::{HeaderValue, Response, StatusCode, header};
 use serde::Serialize;
@@ -44,7 +44,7 @@
         return Err(Problem::not_run(StatusCode::NOT_FOUND, detail));
     }
     let told = choose(core, cfg, &key(&asker, parts, tenant), asker.domain, None);
-    let keep = told.keep_for.min(core.settings.timing.address_keep);
+    let keep = told.ttl.min(core.settings.timing.address_keep);
     let doc = Document {
         addresses: &told.addresses,
         keep_seconds: keep.as_secs().max(1),
@@ -95,7 +95,7 @@
     caller: &str,
     domain: &str,
     except: Option<&str>,
-) -> AddressAnswer {
+) -> AddressList {
     let entries = entries(core, cfg);
     choose_addresses(caller, domain, &entries, except, &mut fastrand::Rng::new())
 }
@@ -106,8 +106,8 @@
         node: ident.node.clone(),
         address: ident.caller.to_smolstr(),
         failure_domain: ident.failure_domain.clone(),
-        near: true,
-        load: LoadBand::default(),
+        same_region: true,
+        load: LoadLevel::default(),
         leaving: takes_no_callers(core),
         alive: true,
     }];
@@ -117,7 +117,7 @@
         node: node.clone(),
         address: entry.caller.to_smolstr(),
         failure_domain: entry.failure_domain.clone(),
-        near: entry.region == ident.region,
+        same_region: entry.region == ident.region,
         load: entry.band,
         leaving: entry.leaving || cfg.drains_node(node),
         alive: entry.is_alive(now),
--- a/crates/node/src/state/directory.rs
+++ b/crates/node/src/state/directory.rs
@@ -6,7 +6,7 @@
 
 use eelgrassmill_base::{ConfigVersion, FailureDomain, Incarnation, NodeId, Region};
 use eelgrassmill_peer::{NodeLoad, NodeStatus};
-use eelgrassmill_route::LoadBand;
+use eelgrassmill_route::LoadLevel;
 
 /// Load at which a node is full, in thousandths.
 const FULL_PERMILLE: f64 = 1000.0;
@@ -24,7 +24,7 @@
     pub(crate) region: Region,
     pub(crate) leaving: bool,
     /// How loaded it calls itself.
-    pub(crate) band: LoadBand,
+    pub(crate) band: LoadLevel,
     pub(crate) config_version: ConfigVersion,
     /// When it was last known to live.
     pub(crate) heard: Instant,
@@ -62,7 +62,7 @@
             failure_domain: s.failure_domain.clone(),
             region: s.region.clone(),
             leaving: s.leaving,
-            band: before.map_or(LoadBand::default(), |e| e.band),
+            band: before.map_or(LoadLevel::default(), |e| e.band),
             config_version: before.map_or(0, |e| e.config_version),
             heard: before.map_or(as_of, |e| e.heard.max(as_of)),
         };
--- a/crates/peer/examples/capacity/policy.rs
+++ b/crates/peer/examples/capacity/policy.rs
@@ -11,7 +11,7 @@
 };
 use eelgrassmill_peer::capacity::Inputs;
 use eelgrassmill_route::{
-    Candidate, Demand, EntryView, GroupPicker, LoadBand, Offer, QueueOptions, QuotaIssuer,
+    Candidate, Demand, EntryView, GroupPicker, LoadLevel, Offer, QueueOptions, QuotaIssuer,
     ServiceQueue, SlotKind, Slots, choose_addresses,
 };
 use eelgrassmill_timeline::{Bounds, EventKind, EventLog};
@@ -340,8 +340,8 @@
         node: format_smolstr!("node-{i}"),
         address: format_smolstr!("10.20.30.{}:8080", i % 250),
         failure_domain: format_smolstr!("domain-{}", i % 6),
-        near: i.is_multiple_of(3),
-        load: LoadBand::Easy,
+        same_region: i.is_multiple_of(3),
+        load: LoadLevel::Low,
         leaving: false,
         alive: true,
     }
--- a/crates/route/src/addresses.rs
+++ b/crates/route/src/addresses.rs
@@ -23,31 +23,31 @@
 value! { copy
     /// How loaded an entry calls itself.
     #[derive(Default)]
-    pub enum LoadBand {
+    pub enum LoadLevel {
         /// Room for more.
         #[default]
-        Easy,
+        Low,
         /// Little room: others of the same failure domain come first.
-        Busy,
+        High,
         /// No room: it refuses, and names others.
         Full,
     }
 }
 
-impl LoadBand {
+impl LoadLevel {
     /// The band for a load (1 is capacity), given the present one.
     ///
     /// Bands are left at a lower load than they are entered at; with one
     /// threshold, callers' address lists would change at every report.
-    pub fn next(self, load: f64) -> LoadBand {
+    pub fn next(self, load: f64) -> LoadLevel {
         let over =
             |(enter, leave): (f64, f64), inside: bool| load >= if inside { leave } else { enter };
-        if over(FULL, self == LoadBand::Full) {
-            return LoadBand::Full;
+        if over(FULL, self == LoadLevel::Full) {
+            return LoadLevel::Full;
         }
-        match over(BUSY, self >= LoadBand::Busy) {
-            true => LoadBand::Busy,
-            false => LoadBand::Easy,
+        match over(BUSY, self >= LoadLevel::High) {
+            true => LoadLevel::High,
+            false => LoadLevel::Low,
         }
     }
 }
@@ -62,9 +62,9 @@
         /// Its failure domain.
         pub failure_domain: FailureDomain,
         /// In the answering entry's region.
-        pub near: bool,
+        pub same_region: bool,
         /// How loaded it calls itself.
-        pub load: LoadBand,
+        pub load: LoadLevel,
         /// It is leaving.
         pub leaving: bool,
         /// It has been heard of lately.
@@ -72,11 +72,11 @@
     }
 
     /// What a caller is told.
-    pub struct AddressAnswer {
+    pub struct AddressList {
         /// Addresses, the one to use first at the front.
         pub addresses: SmallVec<[SmolStr; ADDRESSES]>,
         /// How long to keep them, different for each answer.
-        pub keep_for: Duration,
+        pub ttl: Duration,
     }
 }
 
@@ -93,7 +93,7 @@
     entries: &[EntryView],
     except: Option<&str>,
     rng: &mut fastrand::Rng,
-) -> AddressAnswer {
+) -> AddressList {
     let mut order: Vec<&EntryView> = entries
         .iter()
         .filter(|e| Some(e.node.as_str()) != except)
@@ -110,21 +110,21 @@
     order.truncate(usable.max(1));
     let moving = entries
         .iter()
-        .any(|e| e.leaving || e.load == LoadBand::Full);
-    AddressAnswer {
+        .any(|e| e.leaving || e.load == LoadLevel::Full);
+    AddressList {
         addresses: spread(&order),
-        keep_for: keep_for(moving, rng),
+        ttl: jittered_ttl(moving, rng),
     }
 }
 
 /// Lower is better. A full entry far down, a distant one before it.
-fn rank(entry: &EntryView, caller_domain: &str) -> (bool, bool, bool, u8, LoadBand) {
-    let hops = match (entry.failure_domain == caller_domain, entry.near) {
+fn rank(entry: &EntryView, caller_domain: &str) -> (bool, bool, bool, u8, LoadLevel) {
+    let hops = match (entry.failure_domain == caller_domain, entry.same_region) {
         (true, _) => 0,
         (false, true) => 1,
         (false, false) => 2,
     };
-    let full = entry.load == LoadBand::Full;
+    let full = entry.load == LoadLevel::Full;
     (!entry.alive, entry.leaving, full, hops, entry.load)
 }
 
@@ -142,7 +142,7 @@
     chosen.iter().map(|e| e.address.clone()).collect()
 }
 
-fn keep_for(moving: bool, rng: &mut fastrand::Rng) -> Duration {
+fn jittered_ttl(moving: bool, rng: &mut fastrand::Rng) -> Duration {
     let keep = if moving { KEEP_SHORT } else { KEEP };
     keep.mul_f64(1.0 - KEEP_JITTER + 2.0 * KEEP_JITTER * rng.f64())
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -10,7 +10,7 @@
 mod retry;
 mod suspects;
 
-pub use crate::addresses::{AddressAnswer, EntryView, LoadBand, choose_addresses};
+pub use crate::addresses::{AddressList, EntryView, LoadLevel, choose_addresses};
 pub use crate::pick::{
     CacheEvent, Candidate, FIRST_TOKEN_AIM, GroupPicker, Pick, PrefixHash, PrefixHashes, Sample,
     TOKEN_GAP_AIM, prefix_hashes,
--- a/crates/route/tests/addresses.rs
+++ b/crates/route/tests/addresses.rs
@@ -10,15 +10,15 @@
         node: format!("entry-{i}").into(),
         address: format!("10.0.0.{i}:80").into(),
         failure_domain: ["a", "b", "c"][i % 3].into(),
-        near: true,
-        load: LoadBand::Easy,
+        same_region: true,
+        load: LoadLevel::Low,
         leaving: false,
         alive: true,
     };
     (0..9).map(entry).collect()
 }
 
-fn ask(caller: &str, entries: &[EntryView]) -> AddressAnswer {
+fn ask(caller: &str, entries: &[EntryView]) -> AddressList {
     choose_addresses(caller, "a", entries, None, &mut fastrand::Rng::with_seed(1))
 }
 
@@ -69,7 +69,7 @@
             expect_that!(new, eq(&old));
         }
     }
-    expect_that!(ask("x", &after).keep_for, lt(ask("x", &before).keep_for));
+    expect_that!(ask("x", &after).ttl, lt(ask("x", &before).ttl));
 }
 
 /// A full entry refuses a caller and names others; named itself, the caller would be sent
@@ -77,7 +77,7 @@
 #[googletest::test]
 fn a_full_entry_names_others() {
     let mut entries = entries();
-    entries[3].load = LoadBand::Full;
+    entries[3].load = LoadLevel::Full;
     let mut rng = fastrand::Rng::with_seed(1);
     for i in 0..100 {
         let caller = format!("caller-{i}");
@@ -94,19 +94,19 @@
 /// list would change with each report; and answers given at once end apart.
 #[googletest::test]
 fn bands_do_not_flap_and_answers_end_apart() {
-    let mut band = LoadBand::Easy;
+    let mut band = LoadLevel::Low;
     let bands = [0.84, 0.86, 0.8, 0.86, 0.8, 1.0, 0.95, 0.8, 0.6].map(|load| {
         band = band.next(load);
         band
     });
-    use LoadBand::{Busy, Easy, Full};
+    use LoadLevel::{Full, High, Low};
     expect_that!(
         bands,
-        eq([Easy, Busy, Busy, Busy, Busy, Full, Full, Busy, Easy])
+        eq([Low, High, High, High, High, Full, Full, High, Low])
     );
     let (entries, mut rng) = (entries(), fastrand::Rng::with_seed(1));
     let mut ends: Vec<_> = (0..200)
-        .map(|_| choose_addresses("x", "a", &entries, None, &mut rng).keep_for)
+        .map(|_| choose_addresses("x", "a", &entries, None, &mut rng).ttl)
         .collect();
     ends.sort();
     let gap = ends.windows(2).map(|w| w[1] - w[0]).max();
