--- a/crates/node/src/entry/relay.rs
+++ b/crates/node/src/entry/relay.rs
@@ -6,7 +6,7 @@
 use bytes::{Bytes, BytesMut};
 use eelgrassmill_base::{Outcome, Tokens};
 use eelgrassmill_engine::{BodyError, StreamEvent, TokenEvent, TokenStream};
-use eelgrassmill_route::{Sample, may_retry};
+use eelgrassmill_route::{LatencySample, may_retry};
 use eelgrassmill_timeline::EventKind;
 use http::{HeaderValue, Response, header};
 use smol_str::{SmolStr, format_smolstr};
@@ -258,7 +258,7 @@
         }
     }
 
-    fn observe(&self, sample: Sample, now: Instant) {
+    fn observe(&self, sample: LatencySample, now: Instant) {
         if let Some(place) = &self.place {
             place.observe(sample, now);
         }
@@ -286,7 +286,7 @@
                 Ok(Err(err)) => return Err(self.broke(&err)),
                 Err(_) if self.tokens > 0 => {
                     let stalled = self.last.elapsed();
-                    self.observe(Sample::TokenGap(stalled), Instant::now());
+                    self.observe(LatencySample::InterTokenLatency(stalled), Instant::now());
                 }
                 Err(_) => {}
             }
@@ -305,9 +305,9 @@
         let sample = if self.tokens == 0 {
             let waited = self.call.began.elapsed();
             self.core.metrics.first_token(self.call.urgency, waited);
-            Sample::FirstToken(took)
+            LatencySample::TimeToFirstToken(took)
         } else {
-            Sample::TokenGap(took)
+            LatencySample::InterTokenLatency(took)
         };
         self.observe(sample, now);
         self.last = now;
--- a/crates/node/src/loops/pulse.rs
+++ b/crates/node/src/loops/pulse.rs
@@ -144,7 +144,7 @@
         Some(Candidate {
             group: row.group.clone(),
             epoch: serving.epoch,
-            hops: self.core.ident.hops(fleet.hosts.get(&serving.lead)),
+            distance: self.core.ident.hops(fleet.hosts.get(&serving.lead)),
             slots: slots.total(),
             quota: self
                 .core
@@ -167,7 +167,7 @@
         Some(Candidate {
             group: name,
             epoch: 0,
-            hops: self.core.ident.hops(fleet.hosts.get(host)),
+            distance: self.core.ident.hops(fleet.hosts.get(host)),
             slots: slots.total(),
             quota: fallback_part(slots, entries),
             leaving: fleet.is_leaving(host) || cfg.drains_target(host),
--- a/crates/node/src/state/shard.rs
+++ b/crates/node/src/state/shard.rs
@@ -6,8 +6,8 @@
 
 use eelgrassmill_base::{GroupId, ServiceName, Tokens};
 use eelgrassmill_route::{
-    Candidate, GroupPicker, Offer, Pick, PrefixHashes, QueueOptions, Refusal, Sample, ServiceQueue,
-    SlotKind, Slots, Ticket, Usage,
+    Candidate, GroupPicker, LatencySample, Offer, Pick, PrefixHashes, QueueOptions, Refusal,
+    ServiceQueue, SlotKind, Slots, Ticket, Usage,
 };
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
@@ -145,11 +145,11 @@
             true => state.deserted.or(Some(now)),
             false => None,
         };
-        state.picker.update(candidates, now);
+        state.picker.set_candidates(candidates, now);
         state.pump(now);
     }
 
-    pub(crate) fn observe(&self, pick: &Pick, sample: Sample, now: Instant) {
+    pub(crate) fn observe(&self, pick: &Pick, sample: LatencySample, now: Instant) {
         self.state()
             .picker
             .observe(&pick.group, pick.epoch, sample, now);
@@ -158,7 +158,7 @@
     pub(crate) fn report(&self, pick: (&GroupId, u64), running: u32, taken_at: Instant) {
         self.state()
             .picker
-            .report(pick.0, pick.1, running, taken_at);
+            .on_load_report(pick.0, pick.1, running, taken_at);
     }
 
     /// Slots that this entry has taken at a group.
@@ -193,7 +193,7 @@
         if self.is_deserted(now) {
             self.send_all_away();
         }
-        while let Some(started) = self.queue.start(self.picker.free(now), now) {
+        while let Some(started) = self.queue.start(self.picker.free_slots(now), now) {
             self.waiting.remove(&started.ticket);
             let waiter = started.payload;
             let Some(pick) = self.pick(started.slot, &waiter, now) else {
@@ -212,7 +212,7 @@
 
     /// Asks the draft to give way that a waiting request has a better claim than.
     fn ask_to_give_way(&mut self, now: Instant) {
-        let free = self.picker.free(now);
+        let free = self.picker.free_slots(now);
         let victim = self.queue.victim(free, |t| self.givers.contains_key(&t));
         // Asked once: until it has given way its entry here is gone.
         if let Some(tx) = victim.and_then(|ticket| self.givers.remove(&ticket)) {
@@ -229,7 +229,7 @@
     }
 
     fn ended(&mut self, pick: &Pick) {
-        self.picker.ended(pick);
+        self.picker.release(pick);
         let Some(taken) = self.in_flight.get_mut(&pick.group) else {
             return;
         };
@@ -335,7 +335,7 @@
         self.pick.as_ref().map(|pick| pick.group.clone())
     }
 
-    pub(crate) fn observe(&self, sample: Sample, now: Instant) {
+    pub(crate) fn observe(&self, sample: LatencySample, now: Instant) {
         if let Some(pick) = &self.pick {
             self.shard.observe(pick, sample, now);
         }
--- a/crates/peer/examples/capacity/policy.rs
+++ b/crates/peer/examples/capacity/policy.rs
@@ -145,7 +145,7 @@
     Candidate {
         group,
         epoch,
-        hops: 1,
+        distance: 1,
         slots: SLOTS.total(),
         quota: SLOTS,
         leaving: false,
@@ -167,7 +167,7 @@
                 let serving = store.serving(name, now).ok()?;
                 Some(candidate(name.clone(), serving.epoch))
             });
-            picker.update(serving, now);
+            picker.set_candidates(serving, now);
         };
         core.push((n, seconds(200, pulse)));
     }
@@ -309,11 +309,11 @@
     let core = GROUPS.map(|groups| {
         let mut picker = GroupPicker::new(1);
         let all = (0..groups).map(|i| candidate(format_smolstr!("drafting/{i}"), 1));
-        picker.update(all, now);
+        picker.set_candidates(all, now);
         let later = now + Duration::from_secs(600);
         let one = || {
             if let Some(pick) = picker.pick(SlotKind::Normal, &[1, 2, 3, 4], &[], later) {
-                picker.ended(&pick);
+                picker.release(&pick);
             }
         };
         (groups as f64, seconds(2_000, one))
--- a/crates/route/examples/cost.rs
+++ b/crates/route/examples/cost.rs
@@ -7,7 +7,7 @@
 
 use eelgrassmill_base::Urgency;
 use eelgrassmill_route::{
-    Candidate, GroupPicker, Offer, Pick, QueueOptions, Sample, ServiceQueue, Slots, Ticket,
+    Candidate, GroupPicker, LatencySample, Offer, Pick, QueueOptions, ServiceQueue, Slots, Ticket,
     prefix_hashes,
 };
 
@@ -47,7 +47,7 @@
     (0..groups).map(|i| Candidate {
         group: format!("draft/{i}").into(),
         epoch: 1,
-        hops: (i % 3) as u8,
+        distance: (i % 3) as u8,
         slots: 64,
         quota: Slots {
             normal: 64,
@@ -80,7 +80,7 @@
     fn new(tenants: usize, groups: usize) -> Bench {
         let now = Instant::now();
         let mut picker = GroupPicker::new(1);
-        picker.update(candidates(groups), now);
+        picker.set_candidates(candidates(groups), now);
         let prompt = |i| format!("tenant {i} ").repeat(PROMPT_BYTES / 10);
         Bench {
             queue: ServiceQueue::new(QueueOptions::default()),
@@ -97,7 +97,7 @@
         if self.queue.offer(offer(tenant, now), tenant, now).is_err() {
             return;
         }
-        let Some(started) = self.queue.start(self.picker.free(now), now) else {
+        let Some(started) = self.queue.start(self.picker.free_slots(now), now) else {
             return;
         };
         let prefixes = prefix_hashes(&self.prompts[started.payload]);
@@ -112,13 +112,13 @@
             return;
         };
         self.now += Duration::from_millis(1);
-        let first = Sample::FirstToken(Duration::from_millis(300));
-        let gap = Sample::TokenGap(Duration::from_millis(20));
+        let first = LatencySample::TimeToFirstToken(Duration::from_millis(300));
+        let gap = LatencySample::InterTokenLatency(Duration::from_millis(20));
         for sample in [first, gap] {
             self.picker
                 .observe(&pick.group, pick.epoch, sample, self.now);
         }
-        self.picker.ended(&pick);
+        self.picker.release(&pick);
         self.queue.settle(ticket, 300, self.now);
     }
 }
--- a/crates/route/examples/entries.rs
+++ b/crates/route/examples/entries.rs
@@ -97,13 +97,13 @@
     let candidate = |g| Candidate {
         group: group(g),
         epoch: 1,
-        hops: 0,
+        distance: 0,
         slots: SLOTS.normal,
         quota: slots,
         leaving: false,
     };
     let mut picker = GroupPicker::new(i as u64);
-    picker.update((0..GROUPS).map(candidate), now);
+    picker.set_candidates((0..GROUPS).map(candidate), now);
     let holder = |g| {
         let mut holder = QuotaHolder::new(node(i), 1, group(g), 1, SLOTS, ENTRIES as u32);
         holder.set_issuer(&"issuer".into());
@@ -217,7 +217,7 @@
     fn start(&mut self, i: usize, tick: u64) {
         let now = self.now(tick);
         let entry = &mut self.entries[i];
-        while let Some(started) = entry.queue.start(entry.picker.free(now), now) {
+        while let Some(started) = entry.queue.start(entry.picker.free_slots(now), now) {
             let Some(pick) = entry.picker.pick(started.slot, &[], &[], now) else {
                 return;
             };
@@ -241,7 +241,7 @@
         let now = self.now(tick);
         for run in self.ends.remove(&tick).unwrap_or_default() {
             let entry = &mut self.entries[run.entry];
-            entry.picker.ended(&run.pick);
+            entry.picker.release(&run.pick);
             entry.queue.settle(run.ticket, run.req.tokens, now);
             if let Some(n) = entry.in_flight.get_mut(&run.pick.group) {
                 *n -= 1;
--- a/crates/route/examples/pick.rs
+++ b/crates/route/examples/pick.rs
@@ -9,7 +9,8 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_route::{
-    CacheEvent, Candidate, GroupPicker, Pick, PrefixHashes, Sample, SlotKind, Slots, prefix_hashes,
+    CacheEvent, Candidate, GroupPicker, LatencySample, Pick, PrefixHashes, SlotKind, Slots,
+    prefix_hashes,
 };
 
 const GROUPS: usize = 8;
@@ -107,7 +108,7 @@
     (0..GROUPS).map(|i| Candidate {
         group: name(i).into(),
         epoch: 1,
-        hops: 0,
+        distance: 0,
         slots: SLOTS,
         quota: Slots {
             normal: SLOTS,
@@ -187,7 +188,10 @@
         };
         self.groups[index].running -= 1;
         let picker = self.choose.picker();
-        for sample in [Sample::FirstToken(first), Sample::TokenGap(gap)] {
+        for sample in [
+            LatencySample::TimeToFirstToken(first),
+            LatencySample::InterTokenLatency(gap),
+        ] {
             picker.observe(&pick.group, pick.epoch, sample, self.zero + now);
         }
         (self.ended)(&mut self.choose, index, &pick);
@@ -209,9 +213,9 @@
         let old = seen.pop_front().unwrap_or_default();
         let picker = self.choose.picker();
         for (i, (running, first, events)) in old.into_iter().enumerate() {
-            picker.report(&name(i), 1, running, now - LAG);
+            picker.on_load_report(&name(i), 1, running, now - LAG);
             if !second.is_multiple_of(4) {
-                picker.cache_events(&name(i), 1, first, &events, now - LAG);
+                picker.on_cache_events(&name(i), 1, first, &events, now - LAG);
             }
         }
     }
@@ -267,9 +271,9 @@
         println!("{rate} requests a second");
         let zero = Instant::now();
         let mut picker = GroupPicker::new(1);
-        picker.update(candidates(), zero);
+        picker.set_candidates(candidates(), zero);
         println!("  picker");
-        let policy = Simulation::new(Policy(picker), |c, _, pick| c.0.ended(pick), zero);
+        let policy = Simulation::new(Policy(picker), |c, _, pick| c.0.release(pick), zero);
         let policy = print(policy.run(rate));
         let random = Random {
             rng: fastrand::Rng::with_seed(2),
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -12,8 +12,8 @@
 
 pub use crate::addresses::{AddressList, EntryView, LoadLevel, choose_addresses};
 pub use crate::pick::{
-    CacheEvent, Candidate, FIRST_TOKEN_AIM, GroupPicker, Pick, PrefixHash, PrefixHashes, Sample,
-    TOKEN_GAP_AIM, prefix_hashes,
+    CacheEvent, Candidate, GroupPicker, INTER_TOKEN_LATENCY_SLO, LatencySample, Pick, PrefixHash,
+    PrefixHashes, TIME_TO_FIRST_TOKEN_SLO, prefix_hashes,
 };
 pub use crate::queue::{
     Offer, QueueOptions, Refusal, RefusalReason, ServiceQueue, SlotKind, Slots, Started, Ticket,
--- a/crates/route/src/pick/group.rs
+++ b/crates/route/src/pick/group.rs
@@ -7,7 +7,7 @@
 
 use crate::pick::limit::AdaptiveLimit;
 use crate::pick::prefix::Holder;
-use crate::pick::{Candidate, FIRST_TOKEN_AIM, Sample, TOKEN_GAP_AIM};
+use crate::pick::{Candidate, INTER_TOKEN_LATENCY_SLO, LatencySample, TIME_TO_FIRST_TOKEN_SLO};
 use crate::queue::{SlotKind, Slots};
 
 /// A group that is new or returning gets this part of its slots at first.
@@ -141,12 +141,14 @@
         }
     }
 
-    pub(crate) fn observe(&mut self, sample: Sample, now: Instant) {
+    pub(crate) fn observe(&mut self, sample: LatencySample, now: Instant) {
         let over_aim = match sample {
-            Sample::FirstToken(took) => took.as_secs_f64() / FIRST_TOKEN_AIM.as_secs_f64(),
-            Sample::TokenGap(gap) => {
+            LatencySample::TimeToFirstToken(took) => {
+                took.as_secs_f64() / TIME_TO_FIRST_TOKEN_SLO.as_secs_f64()
+            }
+            LatencySample::InterTokenLatency(gap) => {
                 self.observe_gap(gap.as_secs_f64(), now);
-                gap.as_secs_f64() / TOKEN_GAP_AIM.as_secs_f64()
+                gap.as_secs_f64() / INTER_TOKEN_LATENCY_SLO.as_secs_f64()
             }
         };
         let above = self.in_flight.normal > self.allowed(now);
--- a/crates/route/src/pick/limit.rs
+++ b/crates/route/src/pick/limit.rs
@@ -3,9 +3,9 @@
 use std::time::{Duration, Instant};
 
 /// Aim for the time to the first token, for 95 in 100.
-pub const FIRST_TOKEN_AIM: Duration = Duration::from_millis(1300);
+pub const TIME_TO_FIRST_TOKEN_SLO: Duration = Duration::from_millis(1300);
 /// Aim for the time between tokens, for 95 in 100.
-pub const TOKEN_GAP_AIM: Duration = Duration::from_millis(76);
+pub const INTER_TOKEN_LATENCY_SLO: Duration = Duration::from_millis(76);
 
 /// Samples that a decision needs.
 const WINDOW_SAMPLES: u32 = 20;
--- a/crates/route/src/pick/mod.rs
+++ b/crates/route/src/pick/mod.rs
@@ -11,7 +11,7 @@
 use smallvec::SmallVec;
 
 use crate::pick::group::GroupState;
-pub use crate::pick::limit::{FIRST_TOKEN_AIM, TOKEN_GAP_AIM};
+pub use crate::pick::limit::{INTER_TOKEN_LATENCY_SLO, TIME_TO_FIRST_TOKEN_SLO};
 pub use crate::pick::prefix::{CacheEvent, PrefixHash, PrefixHashes, prefix_hashes};
 use crate::pick::prefix::{Holder, PrefixRecord};
 use crate::queue::{SlotKind, Slots};
@@ -44,7 +44,7 @@
         /// Its epoch.
         pub epoch: Epoch,
         /// How far it is: 0 in this entry's failure domain, 1 in its region, 2 beyond.
-        pub hops: u8,
+        pub distance: u8,
         /// Requests that the group runs at a time, over all entries.
         pub slots: u32,
         /// What this entry may have running there.
@@ -53,7 +53,7 @@
         pub leaving: bool,
     }
 
-    /// The chosen group. Give it back to [`GroupPicker::ended`].
+    /// The chosen group. Give it back to [`GroupPicker::release`].
     pub struct Pick {
         /// The group.
         pub group: GroupId,
@@ -66,12 +66,12 @@
 
 value! { copy
     /// One measurement of a group.
-    pub enum Sample {
+    pub enum LatencySample {
         /// Time from dispatch to the first token.
-        FirstToken(Duration),
+        TimeToFirstToken(Duration),
         /// Time between two tokens. For a stream that stalls, report the time
         /// stalled so far once a second: a frozen group sends no samples of its own.
-        TokenGap(Duration),
+        InterTokenLatency(Duration),
     }
 }
 
@@ -104,7 +104,11 @@
     }
 
     /// Replaces the candidates. What isn't in the list gets nothing new.
-    pub fn update(&mut self, candidates: impl IntoIterator<Item = Candidate>, now: Instant) {
+    pub fn set_candidates(
+        &mut self,
+        candidates: impl IntoIterator<Item = Candidate>,
+        now: Instant,
+    ) {
         self.first_look.get_or_insert(now);
         let mut known = std::mem::take(&mut self.groups);
         for candidate in candidates {
@@ -159,7 +163,7 @@
     }
 
     /// Free slots over all groups, to be given to the queue.
-    pub fn free(&self, now: Instant) -> Slots {
+    pub fn free_slots(&self, now: Instant) -> Slots {
         let mut sum = Slots::NONE;
         for state in self.groups.values() {
             let free = state.free(now);
@@ -211,7 +215,7 @@
             }
             let found = matches.binary_search_by_key(&state.holder, |m| m.holder);
             let affinity = found.map_or(0.0, |at| matches[at].worth(state) / prefixes.len() as f64);
-            let score = state.utilisation(now) + HOP_COST * f64::from(state.candidate.hops)
+            let score = state.utilisation(now) + HOP_COST * f64::from(state.candidate.distance)
                 - AFFINITY_GAIN * affinity
                 + NOISE * self.rng.f64();
             if best.is_none_or(|(least, _)| score < least) {
@@ -240,7 +244,7 @@
     }
 
     /// Frees the slot of a pick, also of one whose group has ended since.
-    pub fn ended(&mut self, pick: &Pick) {
+    pub fn release(&mut self, pick: &Pick) {
         let absent = self.absent.get_mut(&pick.group).map(|a| &mut a.state);
         let state = self.groups.get_mut(&pick.group).or(absent);
         if let Some(state) = state.filter(|s| s.epoch() == pick.epoch) {
@@ -249,14 +253,14 @@
     }
 
     /// Takes a measurement.
-    pub fn observe(&mut self, group: &str, epoch: Epoch, sample: Sample, now: Instant) {
+    pub fn observe(&mut self, group: &str, epoch: Epoch, sample: LatencySample, now: Instant) {
         if let Some(state) = self.current(group, epoch) {
             state.observe(sample, now);
         }
     }
 
     /// Takes a load report: `running` requests when it was taken.
-    pub fn report(&mut self, group: &str, epoch: Epoch, running: u32, taken_at: Instant) {
+    pub fn on_load_report(&mut self, group: &str, epoch: Epoch, running: u32, taken_at: Instant) {
         if let Some(state) = self.current(group, epoch) {
             state.report(running, taken_at);
         }
@@ -266,7 +270,7 @@
     ///
     /// After a gap every earlier match of the group is doubted, since any of
     /// them may have been evicted unseen.
-    pub fn cache_events(
+    pub fn on_cache_events(
         &mut self,
         group: &str,
         epoch: Epoch,
--- a/crates/route/tests/pick.rs
+++ b/crates/route/tests/pick.rs
@@ -9,11 +9,11 @@
 const MILLI: Duration = Duration::from_millis(1);
 const SECOND: Duration = Duration::from_secs(1);
 
-fn candidate(i: usize, hops: u8) -> Candidate {
+fn candidate(i: usize, distance: u8) -> Candidate {
     Candidate {
         group: format!("draft/{i}").into(),
         epoch: 1,
-        hops,
+        distance,
         slots: 20,
         quota: Slots {
             normal: 18,
@@ -24,11 +24,11 @@
 }
 
 /// A picker whose groups have been there long enough to get all of their slots.
-fn picker(hops: &[u8]) -> (GroupPicker, Instant) {
+fn picker(distances: &[u8]) -> (GroupPicker, Instant) {
     let start = Instant::now();
     let mut picker = GroupPicker::new(7);
-    picker.update(
-        hops.iter().enumerate().map(|(i, h)| candidate(i, *h)),
+    picker.set_candidates(
+        distances.iter().enumerate().map(|(i, d)| candidate(i, *d)),
         start,
     );
     (picker, start + 60 * SECOND)
@@ -66,15 +66,15 @@
         normal: 1,
         urgent: 0,
     };
-    picker.update([leaving, renewed], now);
+    picker.set_candidates([leaving, renewed], now);
     let new = picker
         .pick(SlotKind::Normal, &[], &[], now)
         .expect("the new epoch");
     expect_that!((new.group.as_str(), new.epoch), eq(("draft/1", 2)));
-    picker.ended(&old);
+    picker.release(&old);
     expect_that!(pick(&mut picker, &[], now), none());
-    picker.update([], now);
-    expect_that!(picker.free(now), eq(Slots::NONE));
+    picker.set_candidates([], now);
+    expect_that!(picker.free_slots(now), eq(Slots::NONE));
 }
 
 /// Load reports are a second old. Without adding what was sent since, the whole burst
@@ -83,7 +83,7 @@
 fn a_burst_between_reports_is_spread() {
     let (mut picker, now) = picker(&[0, 0, 0, 0]);
     for (i, running) in [0, 4, 4, 4].into_iter().enumerate() {
-        picker.report(&format!("draft/{i}"), 1, running, now - SECOND);
+        picker.on_load_report(&format!("draft/{i}"), 1, running, now - SECOND);
     }
     let counts = counts(&mut picker, 40, now);
     expect_that!(counts["draft/0"], le(16));
@@ -96,9 +96,9 @@
 fn the_nearest_domain_comes_first_and_spills() {
     let (mut picker, now) = picker(&[0, 1]);
     expect_that!(pick(&mut picker, &[], now), some(eq("draft/0")));
-    picker.report("draft/0", 1, 18, now);
+    picker.on_load_report("draft/0", 1, 18, now);
     expect_that!(pick(&mut picker, &[], now), some(eq("draft/1")));
-    picker.report("draft/0", 1, 2, now);
+    picker.on_load_report("draft/0", 1, 2, now);
     expect_that!(pick(&mut picker, &[], now), some(eq("draft/0")));
 }
 
@@ -112,7 +112,7 @@
     for _ in 0..5 {
         expect_that!(pick(&mut picker, &prefixes, now), some(eq(&home)));
     }
-    picker.report(&home, 1, 18, now);
+    picker.on_load_report(&home, 1, 18, now);
     expect_that!(pick(&mut picker, &prefixes, now), some(not(eq(&home))));
 }
 
@@ -127,17 +127,17 @@
     picker
         .pick(SlotKind::Normal, &prefixes, &["draft/1".into()], now)
         .expect("draft/0");
-    picker.cache_events("draft/0", 1, 0, &events, now - SECOND);
-    picker.report("draft/0", 1, 5, now);
+    picker.on_cache_events("draft/0", 1, 0, &events, now - SECOND);
+    picker.on_load_report("draft/0", 1, 5, now);
     expect_that!(pick(&mut picker, &prefixes, now), some(eq("draft/0")));
     // After the gap a match is worth half: not enough against this load any more.
     let later = now + 10 * SECOND;
-    picker.cache_events("draft/0", 1, 9, &[], later);
-    picker.report("draft/0", 1, 8, later);
+    picker.on_cache_events("draft/0", 1, 9, &[], later);
+    picker.on_load_report("draft/0", 1, 8, later);
     expect_that!(pick(&mut picker, &prefixes, later), some(eq("draft/1")));
     // Confirmed, it counts in full again.
-    picker.cache_events("draft/0", 1, 9, &[CacheEvent::Stored(hash)], later + SECOND);
-    picker.cache_events("draft/1", 1, 0, &events, later + SECOND);
+    picker.on_cache_events("draft/0", 1, 9, &[CacheEvent::Stored(hash)], later + SECOND);
+    picker.on_cache_events("draft/1", 1, 0, &events, later + SECOND);
     expect_that!(
         pick(&mut picker, &prefixes, later + SECOND),
         some(eq("draft/0"))
@@ -152,7 +152,12 @@
     let measure = |picker: &mut GroupPicker, gaps: [u32; 4], now| {
         for (i, gap) in gaps.into_iter().enumerate() {
             for _ in 0..50 {
-                picker.observe(&format!("draft/{i}"), 1, Sample::TokenGap(gap * MILLI), now);
+                picker.observe(
+                    &format!("draft/{i}"),
+                    1,
+                    LatencySample::InterTokenLatency(gap * MILLI),
+                    now,
+                );
             }
         }
     };
@@ -162,7 +167,7 @@
     expect_that!(slow["draft/0"], ge(12));
     now += SECOND;
     measure(&mut picker, [15, 15, 15, 15], now);
-    picker.update((0..4).map(|i| candidate(i, 0)), now);
+    picker.set_candidates((0..4).map(|i| candidate(i, 0)), now);
     let recovered = counts(&mut picker, 20, now);
     expect_that!(recovered["draft/3"], ge(8));
 }
@@ -172,10 +177,10 @@
 #[googletest::test]
 fn a_new_group_starts_gradually() {
     let (mut picker, now) = picker(&[0]);
-    picker.update([candidate(0, 0), candidate(1, 0)], now);
+    picker.set_candidates([candidate(0, 0), candidate(1, 0)], now);
     let first = counts(&mut picker, 19, now);
     expect_that!(first["draft/1"], le(2));
-    expect_that!(picker.free(now + 30 * SECOND).normal, eq(36 - 19));
+    expect_that!(picker.free_slots(now + 30 * SECOND).normal, eq(36 - 19));
 }
 
 /// Evidence of all groups is late for three seconds while a watcher is replaced. Forgotten
@@ -187,23 +192,23 @@
     let picks: Vec<Pick> = (0..10)
         .filter_map(|_| picker.pick(SlotKind::Normal, &[], &[], now))
         .collect();
-    picker.update([], now);
+    picker.set_candidates([], now);
     expect_that!(pick(&mut picker, &[], now), none());
-    picker.ended(&picks[0]);
+    picker.release(&picks[0]);
     let back = now + 3 * SECOND;
-    picker.update([candidate(0, 0)], back);
+    picker.set_candidates([candidate(0, 0)], back);
     expect_that!(
-        picker.free(back),
+        picker.free_slots(back),
         eq(Slots {
             normal: 18 - 9,
             urgent: 2
         })
     );
-    picker.update([], back);
+    picker.set_candidates([], back);
     let late = back + 60 * SECOND;
-    picker.update([candidate(0, 0)], late);
-    expect_that!(picker.free(late).normal, eq(0));
-    expect_that!(picker.free(late + 30 * SECOND).normal, eq(18 - 9));
+    picker.set_candidates([candidate(0, 0)], late);
+    expect_that!(picker.free_slots(late).normal, eq(0));
+    expect_that!(picker.free_slots(late + 30 * SECOND).normal, eq(18 - 9));
 }
 
 /// Runs drafts of 200 tokens on one group as fast as the picker lets them in, on an
@@ -220,13 +225,13 @@
         let load = running.len() as f64;
         for (_, left) in &mut running {
             let sample = gap(load) * (0.9 + 0.2 * rng.f64());
-            let sample_token = Sample::TokenGap(Duration::from_secs_f64(sample));
+            let sample_token = LatencySample::InterTokenLatency(Duration::from_secs_f64(sample));
             picker.observe("draft/0", 1, sample_token, now);
             *left -= 0.2 / sample;
         }
         running.retain(|(pick, left)| {
             let ended = *left <= 0.0;
-            ended.then(|| picker.ended(pick));
+            ended.then(|| picker.release(pick));
             !ended
         });
         now += 200 * MILLI;
@@ -247,11 +252,11 @@
 fn a_new_entry_trusts_the_groups_it_finds() {
     let now = Instant::now();
     let mut picker = GroupPicker::new(1);
-    picker.update([], now);
-    picker.update([candidate(0, 0)], now + SECOND);
-    expect_that!(picker.free(now + SECOND).normal, eq(18));
-    picker.update([candidate(0, 0), candidate(1, 0)], now + 60 * SECOND);
-    expect_that!(picker.free(now + 60 * SECOND).normal, eq(18 + 1));
+    picker.set_candidates([], now);
+    picker.set_candidates([candidate(0, 0)], now + SECOND);
+    expect_that!(picker.free_slots(now + SECOND).normal, eq(18));
+    picker.set_candidates([candidate(0, 0), candidate(1, 0)], now + 60 * SECOND);
+    expect_that!(picker.free_slots(now + 60 * SECOND).normal, eq(18 + 1));
 }
 
 /// An engine whose tokens slow down as more requests run on it: 20 ms and 5 ms for
