--- a/crates/claim/tests/fuzz/world.rs
+++ b/crates/claim/tests/fuzz/world.rs
@@ -127,7 +127,7 @@
         let call = self.calls.len();
         let at = &mut self.entries[entry];
         at.budget.on_request(&TENANT.into());
-        let offer = Offer {
+        let offer = AdmissionRequest {
             tenant: TENANT.into(),
             weight: 1,
             urgency: Urgency::DEFAULT,
@@ -135,7 +135,7 @@
             deadline: self.now + Duration::from_secs(20),
             max_tenant_queue: 4,
         };
-        let refused = at.queue.offer(offer, call, self.now).is_err();
+        let refused = at.queue.admit(offer, call, self.now).is_err();
         self.calls.push(Call {
             entry,
             incarnation: at.incarnation,
@@ -158,17 +158,17 @@
     pub(crate) fn tick(&mut self, millis: u64) {
         self.now += Duration::from_millis(millis);
         for entry in 0..ENTRIES {
-            for (call, _) in self.entries[entry].queue.expire(self.now) {
+            for (call, _) in self.entries[entry].queue.take_refused(self.now) {
                 self.calls[call].told = Some(Told::NotRun);
             }
             let free = Slots {
                 normal: 1,
                 urgent: 0,
             };
-            if let Some(started) = self.entries[entry].queue.start(free, self.now) {
+            if let Some(started) = self.entries[entry].queue.dequeue(free, self.now) {
                 self.decide(started.payload);
                 let now = self.now;
-                self.entries[entry].queue.settle(started.ticket, 10, now);
+                self.entries[entry].queue.complete(started.ticket, 10, now);
             }
             if let Some(batch) = self.entries[entry].batcher.due(self.now) {
                 self.send(entry, batch);
--- a/crates/node/src/entry/call.rs
+++ b/crates/node/src/entry/call.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use eelgrassmill_base::{Outcome, RequestId, ServiceName, TenantId, Tokens, Urgency};
-use eelgrassmill_route::{Offer, PrefixHashes, Refusal};
+use eelgrassmill_route::{AdmissionRequest, PrefixHashes, Refusal};
 use http::{HeaderMap, HeaderValue, Method, StatusCode};
 use smol_str::SmolStr;
 
@@ -51,8 +51,8 @@
 }
 
 impl Call {
-    pub(crate) fn offer(&self) -> Offer {
-        Offer {
+    pub(crate) fn offer(&self) -> AdmissionRequest {
+        AdmissionRequest {
             tenant: self.tenant.clone(),
             weight: self.weight,
             urgency: self.urgency,
@@ -156,7 +156,7 @@
 
 /// What a caller is told whom the queue refused.
 pub(crate) fn refused(refusal: &Refusal) -> Problem {
-    let status = if refusal.reason.is_tenants_own() {
+    let status = if refusal.reason.caused_by_tenant() {
         StatusCode::TOO_MANY_REQUESTS
     } else {
         StatusCode::SERVICE_UNAVAILABLE
--- a/crates/node/src/state/shard.rs
+++ b/crates/node/src/state/shard.rs
@@ -6,8 +6,8 @@
 
 use eelgrassmill_base::{GroupId, ServiceName, Tokens};
 use eelgrassmill_route::{
-    Candidate, GroupPicker, LatencySample, Offer, Pick, PrefixHashes, QueueOptions, Refusal,
-    ServiceQueue, SlotKind, Slots, Ticket, Usage,
+    AdmissionRequest, Candidate, GroupPicker, LatencySample, Pick, PrefixHashes, QueueOptions,
+    Refusal, ServiceQueue, SlotKind, Slots, TenantUsage, Ticket,
 };
 use smallvec::SmallVec;
 use tokio::sync::oneshot;
@@ -110,7 +110,7 @@
     /// [`Turn::NoGroup`] at once.
     pub(crate) fn offer(
         self: &Arc<Shard>,
-        offer: Offer,
+        offer: AdmissionRequest,
         prefixes: PrefixHashes,
         avoid: Avoided,
         now: Instant,
@@ -122,7 +122,7 @@
             avoid,
         };
         let mut state = self.state();
-        let ticket = state.queue.offer(offer, waiter, now)?;
+        let ticket = state.queue.admit(offer, waiter, now)?;
         state.waiting.insert(ticket);
         state.pump(now);
         drop(state);
@@ -168,13 +168,13 @@
     }
 
     /// What tenants used here since the last call.
-    pub(crate) fn take_usage(&self) -> Vec<Usage> {
+    pub(crate) fn take_usage(&self) -> Vec<TenantUsage> {
         self.state().queue.take_usage()
     }
 
     /// Charges what a tenant used at another entry.
-    pub(crate) fn charge_elsewhere(&self, usage: &Usage) {
-        self.state().queue.charge_elsewhere(usage);
+    pub(crate) fn charge_elsewhere(&self, usage: &TenantUsage) {
+        self.state().queue.charge_remote_usage(usage);
     }
 
     /// Waiting requests by kind of slot, and running ones.
@@ -186,14 +186,14 @@
 
 impl State {
     fn pump(&mut self, now: Instant) {
-        for (waiter, refusal) in self.queue.expire(now) {
+        for (waiter, refusal) in self.queue.take_refused(now) {
             // A caller that has left wants no refusal.
             let _ = waiter.tx.send(Turn::GivenUp(refusal));
         }
         if self.is_deserted(now) {
             self.send_all_away();
         }
-        while let Some(started) = self.queue.start(self.picker.free_slots(now), now) {
+        while let Some(started) = self.queue.dequeue(self.picker.free_slots(now), now) {
             self.waiting.remove(&started.ticket);
             let waiter = started.payload;
             let Some(pick) = self.pick(started.slot, &waiter, now) else {
@@ -213,7 +213,9 @@
     /// Asks the draft to give way that a waiting request has a better claim than.
     fn ask_to_give_way(&mut self, now: Instant) {
         let free = self.picker.free_slots(now);
-        let victim = self.queue.victim(free, |t| self.givers.contains_key(&t));
+        let victim = self
+            .queue
+            .preemption_victim(free, |t| self.givers.contains_key(&t));
         // Asked once: until it has given way its entry here is gone.
         if let Some(tx) = victim.and_then(|ticket| self.givers.remove(&ticket)) {
             let _ = tx.send(());
@@ -303,7 +305,7 @@
         state.givers.remove(&self.ticket);
         // A ticket that no longer runs leaves the receiver without a sender,
         // which is a turn without a group.
-        if let Some(ticket) = state.queue.resume(self.ticket, used, waiter) {
+        if let Some(ticket) = state.queue.requeue(self.ticket, used, waiter) {
             self.ticket = ticket;
             state.waiting.insert(ticket);
         }
@@ -357,7 +359,7 @@
             state.ended(pick);
         }
         match self.used {
-            Some(tokens) => state.queue.settle(self.ticket, tokens, now),
+            Some(tokens) => state.queue.complete(self.ticket, tokens, now),
             None => drop(state.queue.cancel(self.ticket)),
         }
         state.pump(now);
--- a/crates/node/src/state/usage.rs
+++ b/crates/node/src/state/usage.rs
@@ -4,7 +4,7 @@
 
 use eelgrassmill_base::{NodeId, ServiceName, TenantId};
 use eelgrassmill_peer::{Item, Usage as UsageItem};
-use eelgrassmill_route::Usage;
+use eelgrassmill_route::TenantUsage;
 
 /// Tokens by which a tenant's use has to grow before it is told again.
 ///
@@ -29,7 +29,7 @@
 
 impl UsageBook {
     /// Adds what was used here; gives what is to be told.
-    pub(crate) fn used(&mut self, service: &ServiceName, used: Vec<Usage>) -> Vec<Item> {
+    pub(crate) fn used(&mut self, service: &ServiceName, used: Vec<TenantUsage>) -> Vec<Item> {
         let mut items = Vec::new();
         for usage in used {
             let key = (service.clone(), usage.tenant.clone());
@@ -53,11 +53,11 @@
     ///
     /// The first word of an entry is where counting begins: this node may have
     /// started long after it, and must not charge its whole past at once.
-    pub(crate) fn heard(&mut self, from: &NodeId, item: &UsageItem) -> Usage {
+    pub(crate) fn heard(&mut self, from: &NodeId, item: &UsageItem) -> TenantUsage {
         let heard = self.heard.entry(from.clone()).or_default();
         let key = (item.service.clone(), item.tenant.clone());
         let before = heard.insert(key, item.tokens).unwrap_or(item.tokens);
-        Usage {
+        TenantUsage {
             tenant: item.tenant.clone(),
             weight: item.weight,
             tokens: item.tokens - before,
--- a/crates/peer/examples/capacity/policy.rs
+++ b/crates/peer/examples/capacity/policy.rs
@@ -11,8 +11,8 @@
 };
 use eelgrassmill_peer::capacity::Inputs;
 use eelgrassmill_route::{
-    Candidate, Demand, EntryView, GroupPicker, LoadLevel, Offer, QueueOptions, QuotaIssuer,
-    ServiceQueue, SlotKind, Slots, choose_addresses,
+    AdmissionRequest, Candidate, Demand, EntryView, GroupPicker, LoadLevel, QueueOptions,
+    QuotaIssuer, ServiceQueue, SlotKind, Slots, choose_addresses,
 };
 use eelgrassmill_timeline::{Bounds, EventKind, EventLog};
 use smol_str::{SmolStr, format_smolstr};
@@ -262,8 +262,8 @@
     inputs.config_row = line("config_row", &sizes);
 }
 
-fn offer(tenant: usize, now: Instant) -> Offer {
-    Offer {
+fn offer(tenant: usize, now: Instant) -> AdmissionRequest {
+    AdmissionRequest {
         tenant: format_smolstr!("tenant-{tenant}"),
         weight: 1,
         urgency: Urgency::DEFAULT,
@@ -278,14 +278,14 @@
     let core = [10, 33, 100].map(|tenants| {
         let mut queue = ServiceQueue::new(QueueOptions::default().max_queue(10_000));
         for tenant in 0..tenants {
-            let _ = queue.offer(offer(tenant, now), (), now);
+            let _ = queue.admit(offer(tenant, now), (), now);
         }
         let mut next = 0;
         let one = || {
             next = (next + 1) % tenants;
-            let _ = queue.offer(offer(next, now), (), now);
-            if let Some(started) = queue.start(SLOTS, now) {
-                queue.settle(started.ticket, 700, now);
+            let _ = queue.admit(offer(next, now), (), now);
+            if let Some(started) = queue.dequeue(SLOTS, now) {
+                queue.complete(started.ticket, 700, now);
             }
         };
         (tenants as f64, seconds(2_000, one))
@@ -295,7 +295,7 @@
         let make = || {
             let mut queue = ServiceQueue::new(QueueOptions::default().max_queue(10_000));
             for i in 0..waiting {
-                queue.offer(offer(i % 100, now), (), now).expect("room");
+                queue.admit(offer(i % 100, now), (), now).expect("room");
             }
             queue
         };
--- a/crates/route/examples/cost.rs
+++ b/crates/route/examples/cost.rs
@@ -7,8 +7,8 @@
 
 use eelgrassmill_base::Urgency;
 use eelgrassmill_route::{
-    Candidate, GroupPicker, LatencySample, Offer, Pick, QueueOptions, ServiceQueue, Slots, Ticket,
-    prefix_hashes,
+    AdmissionRequest, Candidate, GroupPicker, LatencySample, Pick, QueueOptions, ServiceQueue,
+    Slots, Ticket, prefix_hashes,
 };
 
 /// Counts allocations.
@@ -57,8 +57,8 @@
     })
 }
 
-fn offer(tenant: usize, now: Instant) -> Offer {
-    Offer {
+fn offer(tenant: usize, now: Instant) -> AdmissionRequest {
+    AdmissionRequest {
         tenant: format!("tenant-{tenant}").into(),
         weight: 1,
         urgency: Urgency(if tenant.is_multiple_of(4) { 1 } else { 3 }),
@@ -94,10 +94,10 @@
 
     fn begin(&mut self, tenant: usize) {
         let now = self.now;
-        if self.queue.offer(offer(tenant, now), tenant, now).is_err() {
+        if self.queue.admit(offer(tenant, now), tenant, now).is_err() {
             return;
         }
-        let Some(started) = self.queue.start(self.picker.free_slots(now), now) else {
+        let Some(started) = self.queue.dequeue(self.picker.free_slots(now), now) else {
             return;
         };
         let prefixes = prefix_hashes(&self.prompts[started.payload]);
@@ -119,7 +119,7 @@
                 .observe(&pick.group, pick.epoch, sample, self.now);
         }
         self.picker.release(&pick);
-        self.queue.settle(ticket, 300, self.now);
+        self.queue.complete(ticket, 300, self.now);
     }
 }
 
--- a/crates/route/examples/entries.rs
+++ b/crates/route/examples/entries.rs
@@ -10,8 +10,8 @@
 
 use eelgrassmill_base::{GroupId, NodeId, Urgency};
 use eelgrassmill_route::{
-    Candidate, GroupPicker, Offer, Pick, QueueOptions, QuotaHolder, QuotaIssuer, ServiceQueue,
-    Slots, Ticket, Usage, fallback_part,
+    AdmissionRequest, Candidate, GroupPicker, Pick, QueueOptions, QuotaHolder, QuotaIssuer,
+    ServiceQueue, Slots, TenantUsage, Ticket, fallback_part,
 };
 
 const ENTRIES: usize = 8;
@@ -181,7 +181,7 @@
     }
 
     fn tell_usage(&mut self) {
-        let used: Vec<Vec<Usage>> = self
+        let used: Vec<Vec<TenantUsage>> = self
             .entries
             .iter_mut()
             .map(|e| e.queue.take_usage())
@@ -189,14 +189,14 @@
         for (i, entry) in self.entries.iter_mut().enumerate() {
             let others = used.iter().enumerate().filter(|(from, _)| *from != i);
             for usage in others.flat_map(|(_, usages)| usages) {
-                entry.queue.charge_elsewhere(usage);
+                entry.queue.charge_remote_usage(usage);
             }
         }
     }
 
     fn offer(&mut self, entry: usize, req: Request) {
         let now = self.now(req.at);
-        let offer = Offer {
+        let offer = AdmissionRequest {
             tenant: format!("tenant-{}", req.tenant).into(),
             weight: 1,
             urgency: Urgency::DEFAULT,
@@ -205,7 +205,7 @@
             max_tenant_queue: 1000,
         };
         let entry = entry.min(self.entries.len() - 1);
-        if self.entries[entry].queue.offer(offer, req, now).is_err() {
+        if self.entries[entry].queue.admit(offer, req, now).is_err() {
             self.refuse(req);
         }
     }
@@ -217,7 +217,7 @@
     fn start(&mut self, i: usize, tick: u64) {
         let now = self.now(tick);
         let entry = &mut self.entries[i];
-        while let Some(started) = entry.queue.start(entry.picker.free_slots(now), now) {
+        while let Some(started) = entry.queue.dequeue(entry.picker.free_slots(now), now) {
             let Some(pick) = entry.picker.pick(started.slot, &[], &[], now) else {
                 return;
             };
@@ -233,7 +233,7 @@
             };
             self.ends.entry(tick + took as u64).or_default().push(run);
         }
-        let expired = entry.queue.expire(now);
+        let expired = entry.queue.take_refused(now);
         expired.into_iter().for_each(|(req, _)| self.refuse(req));
     }
 
@@ -242,7 +242,7 @@
         for run in self.ends.remove(&tick).unwrap_or_default() {
             let entry = &mut self.entries[run.entry];
             entry.picker.release(&run.pick);
-            entry.queue.settle(run.ticket, run.req.tokens, now);
+            entry.queue.complete(run.ticket, run.req.tokens, now);
             if let Some(n) = entry.in_flight.get_mut(&run.pick.group) {
                 *n -= 1;
             }
--- a/crates/route/examples/fairness.rs
+++ b/crates/route/examples/fairness.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::Urgency;
-use eelgrassmill_route::{Offer, QueueOptions, ServiceQueue, SlotKind, Slots, Ticket};
+use eelgrassmill_route::{AdmissionRequest, QueueOptions, ServiceQueue, SlotKind, Slots, Ticket};
 
 /// One entry's part of a small service, and a whole larger one.
 const SIZES: [Slots; 2] = [
@@ -51,12 +51,16 @@
 
 /// A queue under test.
 trait Queue {
-    fn offer(&mut self, req: Request);
-    fn start(&mut self, free: Slots, now: Duration) -> Option<(Request, SlotKind, Option<Ticket>)>;
+    fn admit(&mut self, req: Request);
+    fn dequeue(
+        &mut self,
+        free: Slots,
+        now: Duration,
+    ) -> Option<(Request, SlotKind, Option<Ticket>)>;
     fn end(&mut self, req: &Request, ticket: Option<Ticket>, now: Duration);
     /// A running request to cancel and resume.
-    fn victim(&self, free: Slots) -> Option<Ticket>;
-    fn resume(&mut self, req: Request, ticket: Ticket, used: u64);
+    fn preemption_victim(&self, free: Slots) -> Option<Ticket>;
+    fn requeue(&mut self, req: Request, ticket: Ticket, used: u64);
 }
 
 struct Fair {
@@ -67,8 +71,8 @@
 }
 
 impl Queue for Fair {
-    fn offer(&mut self, req: Request) {
-        let offer = Offer {
+    fn admit(&mut self, req: Request) {
+        let offer = AdmissionRequest {
             tenant: format!("tenant-{}", req.tenant).into(),
             weight: 1,
             urgency: if req.urgent {
@@ -81,28 +85,34 @@
             max_tenant_queue: 200,
         };
         // A refusal counts as nothing done, as a late answer does.
-        let _ = self.queue.offer(offer, req, self.zero + req.at);
+        let _ = self.queue.admit(offer, req, self.zero + req.at);
     }
 
-    fn start(&mut self, free: Slots, now: Duration) -> Option<(Request, SlotKind, Option<Ticket>)> {
-        let started = self.queue.start(free, self.zero + now);
-        drop(self.queue.expire(self.zero + now));
+    fn dequeue(
+        &mut self,
+        free: Slots,
+        now: Duration,
+    ) -> Option<(Request, SlotKind, Option<Ticket>)> {
+        let started = self.queue.dequeue(free, self.zero + now);
+        drop(self.queue.take_refused(self.zero + now));
         started.map(|s| (s.payload, s.slot, Some(s.ticket)))
     }
 
     fn end(&mut self, req: &Request, ticket: Option<Ticket>, now: Duration) {
         if let Some(ticket) = ticket {
             self.queue
-                .settle(ticket, req.tokens - req.done, self.zero + now);
+                .complete(ticket, req.tokens - req.done, self.zero + now);
         }
     }
 
-    fn victim(&self, free: Slots) -> Option<Ticket> {
-        self.queue.victim(free, |_| true).filter(|_| self.preempts)
+    fn preemption_victim(&self, free: Slots) -> Option<Ticket> {
+        self.queue
+            .preemption_victim(free, |_| true)
+            .filter(|_| self.preempts)
     }
 
-    fn resume(&mut self, req: Request, ticket: Ticket, used: u64) {
-        self.queue.resume(ticket, used, req);
+    fn requeue(&mut self, req: Request, ticket: Ticket, used: u64) {
+        self.queue.requeue(ticket, used, req);
     }
 }
 
@@ -110,11 +120,11 @@
 struct FirstCome(VecDeque<Request>);
 
 impl Queue for FirstCome {
-    fn offer(&mut self, req: Request) {
+    fn admit(&mut self, req: Request) {
         self.0.push_back(req);
     }
 
-    fn start(&mut self, free: Slots, _: Duration) -> Option<(Request, SlotKind, Option<Ticket>)> {
+    fn dequeue(&mut self, free: Slots, _: Duration) -> Option<(Request, SlotKind, Option<Ticket>)> {
         let slot = match free {
             Slots { normal: 1.., .. } => SlotKind::Normal,
             Slots { urgent: 1.., .. } => SlotKind::Urgent,
@@ -125,11 +135,11 @@
 
     fn end(&mut self, _: &Request, _: Option<Ticket>, _: Duration) {}
 
-    fn victim(&self, _: Slots) -> Option<Ticket> {
+    fn preemption_victim(&self, _: Slots) -> Option<Ticket> {
         None
     }
 
-    fn resume(&mut self, _: Request, _: Ticket, _: u64) {}
+    fn requeue(&mut self, _: Request, _: Ticket, _: u64) {}
 }
 
 #[derive(Default)]
@@ -202,7 +212,7 @@
             if next_end == Some(next) {
                 self.end(next);
             } else if let Some(req) = arrivals.next() {
-                self.queue.offer(*req);
+                self.queue.admit(*req);
             }
             self.fill(next);
         }
@@ -222,10 +232,10 @@
 
     fn fill(&mut self, now: Duration) {
         loop {
-            while let Some((req, slot, ticket)) = self.queue.start(self.free, now) {
+            while let Some((req, slot, ticket)) = self.queue.dequeue(self.free, now) {
                 self.begin(req, slot, ticket, now);
             }
-            let Some(victim) = self.queue.victim(self.free) else {
+            let Some(victim) = self.queue.preemption_victim(self.free) else {
                 return;
             };
             self.cancel(victim, now);
@@ -260,7 +270,7 @@
         let used = (streamed.as_secs_f64() / PER_TOKEN.as_secs_f64()) as u64;
         let mut req = run.req;
         req.done = (req.done + used).min(req.tokens - 1);
-        self.queue.resume(req, victim, used);
+        self.queue.requeue(req, victim, used);
     }
 }
 
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -16,8 +16,8 @@
     PrefixHashes, TIME_TO_FIRST_TOKEN_SLO, prefix_hashes,
 };
 pub use crate::queue::{
-    Offer, QueueOptions, Refusal, RefusalReason, ServiceQueue, SlotKind, Slots, Started, Ticket,
-    Usage,
+    AdmissionRequest, Dequeued, QueueOptions, Refusal, RefusalReason, ServiceQueue, SlotKind,
+    Slots, TenantUsage, Ticket,
 };
 pub use crate::quota::{
     Demand, Grant, QUOTA_MARGIN, QUOTA_TERM, QuotaHolder, QuotaIssuer, fallback_part,
--- a/crates/route/src/queue/admit.rs
+++ b/crates/route/src/queue/admit.rs
@@ -5,7 +5,7 @@
 use eelgrassmill_base::{TenantId, Urgency};
 
 use crate::queue::account::{Account, Queued};
-use crate::queue::{Offer, Refusal, RefusalReason, ServiceQueue, Ticket};
+use crate::queue::{AdmissionRequest, Refusal, RefusalReason, ServiceQueue, Ticket};
 
 /// Largest part by which `retry_after` is lengthened at random.
 const JITTER: f64 = 0.5;
@@ -15,7 +15,12 @@
     ///
     /// # Errors
     /// When a queue is full or the deadline can't be met at the measured pace.
-    pub fn offer(&mut self, offer: Offer, payload: T, now: Instant) -> Result<Ticket, Refusal> {
+    pub fn admit(
+        &mut self,
+        offer: AdmissionRequest,
+        payload: T,
+        now: Instant,
+    ) -> Result<Ticket, Refusal> {
         // An idle service tries whatever comes: its pace may be an old one, and
         // refusing by it would keep it from ever being measured anew.
         let idle = self.running.is_empty() && self.waiting.is_empty();
@@ -32,10 +37,10 @@
         }
         self.make_room(&offer, wait)?;
         let give_up_at = offer.deadline.checked_sub(needs).unwrap_or(now);
-        Ok(self.admit(offer, payload, give_up_at))
+        Ok(self.enqueue_new(offer, payload, give_up_at))
     }
 
-    fn admit(&mut self, offer: Offer, payload: T, give_up_at: Instant) -> Ticket {
+    fn enqueue_new(&mut self, offer: AdmissionRequest, payload: T, give_up_at: Instant) -> Ticket {
         let queued = Queued {
             tokens: offer.tokens,
             give_up_at,
@@ -76,7 +81,7 @@
         ticket
     }
 
-    fn time_alone(&self, offer: &Offer) -> Duration {
+    fn time_alone(&self, offer: &AdmissionRequest) -> Duration {
         match offer.urgency.is_urgent() {
             true => self.urgent_pace.time_for(offer.tokens, 1),
             false => self.normal_pace.time_for(offer.tokens, 1),
@@ -84,7 +89,7 @@
     }
 
     /// How long the request would wait for its start at the measured pace.
-    fn wait(&self, offer: &Offer) -> Duration {
+    fn wait(&self, offer: &AdmissionRequest) -> Duration {
         let urgent = self.queued_urgent_tokens;
         if offer.urgency.is_urgent() {
             return self.urgent_pace.time_for(urgent, self.running_urgent);
@@ -102,7 +107,7 @@
         self.normal_pace.time_for(ahead, self.running.len())
     }
 
-    fn make_room(&mut self, offer: &Offer, wait: Duration) -> Result<(), Refusal> {
+    fn make_room(&mut self, offer: &AdmissionRequest, wait: Duration) -> Result<(), Refusal> {
         let own = self.tenants.get(&offer.tenant);
         if own.map_or(0, |a| a.queued.len()) >= offer.max_tenant_queue as usize {
             return Err(self.refusal(RefusalReason::TenantQueueFull, wait));
@@ -116,7 +121,7 @@
         match self.largest_holder() {
             Some((most, tenant)) if most > held => self.displace(&tenant),
             Some((_, tenant)) if tenant == offer.tenant => {
-                Err(self.refusal(RefusalReason::OverShare, wait))
+                Err(self.refusal(RefusalReason::OverFairShare, wait))
             }
             _ => Err(self.refusal(RefusalReason::QueueFull, wait)),
         }
@@ -133,7 +138,7 @@
             let wait = self
                 .normal_pace
                 .time_for(self.queued_tokens, self.running.len());
-            let refusal = self.refusal(RefusalReason::OverShare, wait);
+            let refusal = self.refusal(RefusalReason::OverFairShare, wait);
             self.given_up.push((queued.payload, refusal));
         }
         Ok(())
--- a/crates/route/src/queue/elsewhere.rs
+++ b/crates/route/src/queue/elsewhere.rs
@@ -12,7 +12,7 @@
 
 value! {
     /// What a tenant used at one entry in some time.
-    pub struct Usage {
+    pub struct TenantUsage {
         /// The tenant.
         pub tenant: TenantId,
         /// Its share relative to the others'.
@@ -24,10 +24,10 @@
 
 impl<T> ServiceQueue<T> {
     /// What tenants used here since the last call, to be told to the other entries.
-    pub fn take_usage(&mut self) -> Vec<Usage> {
+    pub fn take_usage(&mut self) -> Vec<TenantUsage> {
         let used = std::mem::take(&mut self.usage);
         let used = used.into_iter().filter(|(_, (_, tokens))| *tokens != 0);
-        used.map(|(tenant, (weight, tokens))| Usage {
+        used.map(|(tenant, (weight, tokens))| TenantUsage {
             tenant,
             weight,
             tokens,
@@ -39,7 +39,7 @@
     ///
     /// A lost report only makes the order less fair; one taken twice charges twice, so
     /// reports go over a channel that doesn't double them.
-    pub fn charge_elsewhere(&mut self, usage: &Usage) {
+    pub fn charge_remote_usage(&mut self, usage: &TenantUsage) {
         let weight = usage.weight.max(1);
         let earliest = self.earliest_finish(weight);
         // Without a bound, a tenant that filled idle slots elsewhere for hours would
--- a/crates/route/src/queue/mod.rs
+++ b/crates/route/src/queue/mod.rs
@@ -19,8 +19,10 @@
 use eelgrassmill_base::{TenantId, Tokens, Urgency};
 
 use crate::queue::account::{Account, Position, Queued, VirtualTime, cost};
-pub use crate::queue::elsewhere::Usage;
-pub use crate::queue::offer::{Offer, Refusal, RefusalReason, SlotKind, Slots, Started, Ticket};
+pub use crate::queue::elsewhere::TenantUsage;
+pub use crate::queue::offer::{
+    AdmissionRequest, Dequeued, Refusal, RefusalReason, SlotKind, Slots, Ticket,
+};
 use crate::queue::pace::Pace;
 
 /// One normal slot in this many is kept free of tenants that are over their share.
@@ -94,8 +96,8 @@
 
 /// The queue of one service at one node. `T` is the caller's payload.
 ///
-/// Requests that the queue gives up on come out of [`ServiceQueue::expire`];
-/// call it after each `offer` and `start` and at [`ServiceQueue::next_deadline`],
+/// Requests that the queue gives up on come out of [`ServiceQueue::take_refused`];
+/// call it after each `admit` and `dequeue` and at [`ServiceQueue::next_deadline`],
 /// so that each gets its final answer at once.
 #[derive(Debug)]
 pub struct ServiceQueue<T> {
@@ -186,7 +188,7 @@
     }
 
     /// Takes the next request that may start in `free`, which the caller then occupies.
-    pub fn start(&mut self, free: Slots, now: Instant) -> Option<Started<T>> {
+    pub fn dequeue(&mut self, free: Slots, now: Instant) -> Option<Dequeued<T>> {
         self.give_up_late(now);
         if let Some((tenant, slot)) = self.next_urgent(free) {
             return self.begin(tenant, slot, now);
@@ -200,7 +202,7 @@
     }
 
     /// Ends a started request that really used `tokens`.
-    pub fn settle(&mut self, ticket: Ticket, tokens: Tokens, now: Instant) {
+    pub fn complete(&mut self, ticket: Ticket, tokens: Tokens, now: Instant) {
         let Some(run) = self.end(ticket) else {
             return;
         };
@@ -225,12 +227,12 @@
     }
 
     /// Requests given up on since the last call; each is to be answered at once.
-    pub fn expire(&mut self, now: Instant) -> Vec<(T, Refusal)> {
+    pub fn take_refused(&mut self, now: Instant) -> Vec<(T, Refusal)> {
         self.give_up_late(now);
         std::mem::take(&mut self.given_up)
     }
 
-    /// When `expire` has to be called next.
+    /// When `take_refused` has to be called next.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.give_up.first().map(|(at, _)| *at)
     }
@@ -275,7 +277,7 @@
         (all * not_waiting).div_ceil(active * HEADROOM_PART) as u32
     }
 
-    fn begin(&mut self, tenant: TenantId, slot: SlotKind, now: Instant) -> Option<Started<T>> {
+    fn begin(&mut self, tenant: TenantId, slot: SlotKind, now: Instant) -> Option<Dequeued<T>> {
         let position = self.tenants.get(&tenant)?.head()?;
         let ticket = position.1;
         let queued = self.take(ticket)?;
@@ -297,7 +299,7 @@
             resumed: queued.resumed,
         };
         self.running.insert(ticket, run);
-        Some(Started {
+        Some(Dequeued {
             ticket,
             slot,
             payload: queued.payload,
--- a/crates/route/src/queue/offer.rs
+++ b/crates/route/src/queue/offer.rs
@@ -40,7 +40,7 @@
 
 value! {
     /// A request that asks to be admitted.
-    pub struct Offer {
+    pub struct AdmissionRequest {
         /// Whose it is.
         pub tenant: TenantId,
         /// The tenant's share relative to the others'; 0 counts as 1.
@@ -56,8 +56,8 @@
     }
 
     /// A request whose turn has come.
-    pub struct Started<T> {
-        /// Give it back to `settle` when the request has ended.
+    pub struct Dequeued<T> {
+        /// Give it back to `complete` when the request has ended.
         pub ticket: Ticket,
         /// The kind of slot it takes.
         pub slot: SlotKind,
@@ -78,7 +78,7 @@
         TenantQueueFull,
         /// The queue was full and the tenant held more of it than its share.
         #[error("the tenant holds more than its share of a full queue")]
-        OverShare,
+        OverFairShare,
         /// It can't be answered before its deadline.
         #[error("it can't be answered before its deadline")]
         DeadlineTooNear,
@@ -87,10 +87,10 @@
 
 impl RefusalReason {
     /// Whether the tenant's own load is the cause (429) or the service's (503).
-    pub fn is_tenants_own(self) -> bool {
+    pub fn caused_by_tenant(self) -> bool {
         matches!(
             self,
-            RefusalReason::TenantQueueFull | RefusalReason::OverShare
+            RefusalReason::TenantQueueFull | RefusalReason::OverFairShare
         )
     }
 }
--- a/crates/route/src/queue/preempt.rs
+++ b/crates/route/src/queue/preempt.rs
@@ -8,12 +8,12 @@
 impl<T> ServiceQueue<T> {
     /// A running draft to cancel and resume later, where the engine can resume.
     ///
-    /// Ask when `start` gives nothing. There is one when an urgent request waits, or
+    /// Ask when `dequeue` gives nothing. There is one when an urgent request waits, or
     /// a tenant with unused share, while another runs more than its share: the
     /// youngest draft of that one. A draft is cancelled once at most, so that
     /// each makes progress. Only those for which `can` holds are considered. Give it
-    /// back with [`ServiceQueue::resume`].
-    pub fn victim(&self, free: Slots, can: impl Fn(Ticket) -> bool) -> Option<Ticket> {
+    /// back with [`ServiceQueue::requeue`].
+    pub fn preemption_victim(&self, free: Slots, can: impl Fn(Ticket) -> bool) -> Option<Ticket> {
         if free.normal > 0 {
             return None;
         }
@@ -54,7 +54,7 @@
     ///
     /// It keeps its deadline and is not subject to the bounds of the queue, since it was
     /// admitted before. `None` when the ticket isn't running.
-    pub fn resume(&mut self, ticket: Ticket, used: Tokens, payload: T) -> Option<Ticket> {
+    pub fn requeue(&mut self, ticket: Ticket, used: Tokens, payload: T) -> Option<Ticket> {
         let run = self.end(ticket)?;
         self.correct(&run, used);
         let queued = Queued {
--- a/crates/route/tests/queue.rs
+++ b/crates/route/tests/queue.rs
@@ -19,8 +19,8 @@
     urgent: 1,
 };
 
-fn offer(tenant: &str, urgency: u8, tokens: u64, deadline: Instant) -> Offer {
-    Offer {
+fn offer(tenant: &str, urgency: u8, tokens: u64, deadline: Instant) -> AdmissionRequest {
+    AdmissionRequest {
         tenant: tenant.into(),
         weight: 1,
         urgency: Urgency(urgency),
@@ -32,7 +32,7 @@
 
 /// Runs requests one after the other and gives the order in which they start.
 fn drain(queue: &mut ServiceQueue<&'static str>, now: Instant) -> Vec<&'static str> {
-    std::iter::from_fn(|| queue.start(ONE, now).map(|s| s.payload)).collect()
+    std::iter::from_fn(|| queue.dequeue(ONE, now).map(|s| s.payload)).collect()
 }
 
 /// A council digest fills the queue and a guest's refund check comes in behind it.
@@ -42,13 +42,13 @@
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
     for draft in ["draft 1", "draft 2", "draft 3"] {
-        q.offer(offer("a", 3, 500, now + 60 * SECOND), draft, now)
+        q.admit(offer("a", 3, 500, now + 60 * SECOND), draft, now)
             .expect("room");
     }
-    expect_that!(q.start(ONE_URGENT, now), none());
-    q.offer(offer("b", 1, 20, now + 60 * SECOND), "refund", now)
+    expect_that!(q.dequeue(ONE_URGENT, now), none());
+    q.admit(offer("b", 1, 20, now + 60 * SECOND), "refund", now)
         .expect("room");
-    let started = q.start(ONE_URGENT, now).expect("the urgent call");
+    let started = q.dequeue(ONE_URGENT, now).expect("the urgent call");
     expect_that!(
         (started.payload, started.slot),
         eq(("refund", SlotKind::Urgent))
@@ -67,9 +67,9 @@
     let lead = 1000;
     let mut q = ServiceQueue::new(QueueOptions::default().urgent_lead(lead).burst(0));
     for _ in 0..50 {
-        q.offer(offer("cheat", 0, 100, now + 60 * SECOND), "cheat", now)
+        q.admit(offer("cheat", 0, 100, now + 60 * SECOND), "cheat", now)
             .expect("room");
-        q.offer(offer("fair", 3, 100, now + 60 * SECOND), "fair", now)
+        q.admit(offer("fair", 3, 100, now + 60 * SECOND), "fair", now)
             .expect("room");
     }
     let order = drain(&mut q, now);
@@ -88,14 +88,14 @@
     for _ in 0..100 {
         let mut large = offer("large", 3, 1000, now + 60 * SECOND);
         large.weight = 3;
-        q.offer(large, "large", now).expect("room");
-        q.offer(offer("small", 3, 10, now + 60 * SECOND), "small", now)
+        q.admit(large, "large", now).expect("room");
+        q.admit(offer("small", 3, 10, now + 60 * SECOND), "small", now)
             .expect("room");
     }
     for _ in 0..80 {
-        let started = q.start(ONE, now).expect("work");
+        let started = q.dequeue(ONE, now).expect("work");
         *served.entry(started.payload).or_default() += 100;
-        q.settle(started.ticket, 100, now);
+        q.complete(started.ticket, 100, now);
     }
     let ratio = served["large"] as f64 / served["small"] as f64;
     expect_that!(ratio, near(3.0, 0.3));
@@ -108,22 +108,22 @@
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default().max_queue(3));
     for name in ["first", "second", "third"] {
-        q.offer(offer("greedy", 3, 10, now + 60 * SECOND), name, now)
+        q.admit(offer("greedy", 3, 10, now + 60 * SECOND), name, now)
             .expect("room");
     }
-    let again = q.offer(offer("greedy", 3, 10, now + 60 * SECOND), "fourth", now);
+    let again = q.admit(offer("greedy", 3, 10, now + 60 * SECOND), "fourth", now);
     expect_that!(
         again.map_err(|r| r.reason),
-        err(eq(RefusalReason::OverShare))
+        err(eq(RefusalReason::OverFairShare))
     );
     expect_that!(
-        q.offer(offer("b", 3, 10, now + 60 * SECOND), "other", now),
+        q.admit(offer("b", 3, 10, now + 60 * SECOND), "other", now),
         ok(anything())
     );
-    let out = q.expire(now);
+    let out = q.take_refused(now);
     expect_that!(out.len(), eq(1));
     expect_that!(out[0].0, eq("third"));
-    expect_that!(out[0].1.reason.is_tenants_own(), eq(true));
+    expect_that!(out[0].1.reason.caused_by_tenant(), eq(true));
 }
 
 /// The queue is as long as a minute's work and a caller has ten seconds. Told at once,
@@ -132,28 +132,28 @@
 fn what_cannot_be_answered_in_time_is_refused_at_once() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
-    q.offer(offer("a", 3, 100, now + 600 * SECOND), "pace", now)
+    q.admit(offer("a", 3, 100, now + 600 * SECOND), "pace", now)
         .expect("room");
-    let started = q.start(ONE, now).expect("work");
+    let started = q.dequeue(ONE, now).expect("work");
     let now = now + 10 * SECOND;
-    q.settle(started.ticket, 100, now);
+    q.complete(started.ticket, 100, now);
     for _ in 0..6 {
-        q.offer(offer("a", 3, 100, now + 600 * SECOND), "work", now)
+        q.admit(offer("a", 3, 100, now + 600 * SECOND), "work", now)
             .expect("room");
     }
-    q.start(ONE, now).expect("work");
+    q.dequeue(ONE, now).expect("work");
     let late = q
-        .offer(offer("a", 3, 50, now + 10 * SECOND), "late", now)
+        .admit(offer("a", 3, 50, now + 10 * SECOND), "late", now)
         .expect_err("no time");
     expect_that!(late.reason, eq(RefusalReason::DeadlineTooNear));
     expect_that!(late.retry_after, ge(30 * SECOND));
     // Another tenant's turn comes sooner.
-    q.offer(offer("b", 3, 50, now + 10 * SECOND), "kept", now)
+    q.admit(offer("b", 3, 50, now + 10 * SECOND), "kept", now)
         .expect("in time");
     // It needs five seconds, so it is given up five seconds before its deadline.
     expect_that!(q.next_deadline(), some(eq(now + 5 * SECOND)));
-    expect_that!(q.expire(now + 4 * SECOND), is_empty());
-    expect_that!(q.expire(now + 5 * SECOND).len(), eq(1));
+    expect_that!(q.take_refused(now + 4 * SECOND), is_empty());
+    expect_that!(q.take_refused(now + 5 * SECOND).len(), eq(1));
 }
 
 /// A stuck engine has made the measured pace very slow, and it has been replaced since.
@@ -163,24 +163,24 @@
 fn an_old_pace_does_not_refuse_for_good() {
     let mut now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
-    q.offer(offer("a", 3, 100, now + 600 * SECOND), "stuck", now)
+    q.admit(offer("a", 3, 100, now + 600 * SECOND), "stuck", now)
         .expect("room");
-    let stuck = q.start(ONE, now).expect("work");
+    let stuck = q.dequeue(ONE, now).expect("work");
     now += 300 * SECOND;
-    q.settle(stuck.ticket, 100, now);
+    q.complete(stuck.ticket, 100, now);
     for _ in 0..3 {
-        q.offer(offer("a", 3, 100, now + 10 * SECOND), "probe", now)
+        q.admit(offer("a", 3, 100, now + 10 * SECOND), "probe", now)
             .expect("an idle service tries");
-        let probe = q.start(ONE, now).expect("work");
+        let probe = q.dequeue(ONE, now).expect("work");
         now += 2 * SECOND;
-        q.settle(probe.ticket, 100, now);
+        q.complete(probe.ticket, 100, now);
         now += 60 * SECOND;
     }
-    q.offer(offer("a", 3, 100, now + 600 * SECOND), "running", now)
+    q.admit(offer("a", 3, 100, now + 600 * SECOND), "running", now)
         .expect("room");
-    q.start(ONE, now).expect("work");
+    q.dequeue(ONE, now).expect("work");
     expect_that!(
-        q.offer(offer("a", 3, 100, now + 10 * SECOND), "next", now),
+        q.admit(offer("a", 3, 100, now + 10 * SECOND), "next", now),
         ok(anything())
     );
 }
@@ -193,7 +193,7 @@
     let mut q = ServiceQueue::new(QueueOptions::default().max_queue(0));
     let times: std::collections::BTreeSet<Duration> = (0..100)
         .map(|_| {
-            q.offer(offer("a", 3, 1, now + SECOND), "x", now)
+            q.admit(offer("a", 3, 1, now + SECOND), "x", now)
                 .expect_err("full")
                 .retry_after
         })
@@ -210,17 +210,17 @@
     let order = |elsewhere: i64| {
         let mut q = ServiceQueue::new(QueueOptions::default().burst(1000));
         for _ in 0..30 {
-            q.offer(
+            q.admit(
                 offer("everywhere", 3, 100, now + 60 * SECOND),
                 "everywhere",
                 now,
             )
             .expect("room");
-            q.offer(offer("here", 3, 100, now + 60 * SECOND), "here", now)
+            q.admit(offer("here", 3, 100, now + 60 * SECOND), "here", now)
                 .expect("room");
         }
         let tenant = "everywhere".into();
-        q.charge_elsewhere(&Usage {
+        q.charge_remote_usage(&TenantUsage {
             tenant,
             weight: 1,
             tokens: elsewhere,
@@ -242,16 +242,16 @@
 fn usage_told_to_others_is_what_was_used() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
-    q.offer(offer("a", 3, 1000, now + 60 * SECOND), "draft", now)
+    q.admit(offer("a", 3, 1000, now + 60 * SECOND), "draft", now)
         .expect("room");
-    let started = q.start(ONE, now).expect("work");
-    let used = |tokens| Usage {
+    let started = q.dequeue(ONE, now).expect("work");
+    let used = |tokens| TenantUsage {
         tenant: "a".into(),
         weight: 1,
         tokens,
     };
     expect_that!(q.take_usage(), elements_are![eq(&used(1000))]);
-    q.settle(started.ticket, 300, now);
+    q.complete(started.ticket, 300, now);
     expect_that!(q.take_usage(), elements_are![eq(&used(-700))]);
     expect_that!(q.take_usage(), is_empty());
 }
@@ -264,27 +264,30 @@
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
     for _ in 0..4 {
-        q.offer(offer("greedy", 3, 500, now + 600 * SECOND), "draft", now)
+        q.admit(offer("greedy", 3, 500, now + 600 * SECOND), "draft", now)
             .expect("room");
     }
     let mut first: Vec<Ticket> = (0..4)
-        .map(|_| q.start(ONE, now).expect("work").ticket)
+        .map(|_| q.dequeue(ONE, now).expect("work").ticket)
         .collect();
-    expect_that!(q.victim(Slots::NONE, |_| true), none());
+    expect_that!(q.preemption_victim(Slots::NONE, |_| true), none());
     while let Some(youngest) = first.pop() {
-        q.offer(offer("guest", 1, 20, now + 60 * SECOND), "refund", now)
+        q.admit(offer("guest", 1, 20, now + 60 * SECOND), "refund", now)
             .expect("room");
-        expect_that!(q.victim(ONE, |_| true), none());
-        expect_that!(q.victim(Slots::NONE, |_| true), some(eq(youngest)));
-        expect_that!(q.resume(youngest, 100, "draft"), some(anything()));
-        let refund = q.start(ONE, now).expect("the refund");
+        expect_that!(q.preemption_victim(ONE, |_| true), none());
+        expect_that!(
+            q.preemption_victim(Slots::NONE, |_| true),
+            some(eq(youngest))
+        );
+        expect_that!(q.requeue(youngest, 100, "draft"), some(anything()));
+        let refund = q.dequeue(ONE, now).expect("the refund");
         expect_that!(refund.payload, eq("refund"));
-        q.settle(refund.ticket, 20, now);
-        expect_that!(q.start(ONE, now).map(|s| s.payload), some(eq("draft")));
+        q.complete(refund.ticket, 20, now);
+        expect_that!(q.dequeue(ONE, now).map(|s| s.payload), some(eq("draft")));
     }
-    q.offer(offer("guest", 1, 20, now + 60 * SECOND), "refund", now)
+    q.admit(offer("guest", 1, 20, now + 60 * SECOND), "refund", now)
         .expect("room");
-    expect_that!(q.victim(Slots::NONE, |_| true), none());
+    expect_that!(q.preemption_victim(Slots::NONE, |_| true), none());
 }
 
 #[derive(Clone, Debug)]
@@ -347,13 +350,13 @@
                 Step::Offer { tenant, urgency, tokens, seconds } => {
                     let deadline = now + seconds * SECOND;
                     let offer = offer(&tenant.to_string(), urgency, tokens, deadline);
-                    if let Ok(ticket) = q.offer(offer, id, now) {
+                    if let Ok(ticket) = q.admit(offer, id, now) {
                         waiting.insert(id, (ticket, deadline));
                     }
                 }
                 Step::Start { normal } => {
                     let free = if normal { ONE } else { ONE_URGENT };
-                    if let Some(started) = q.start(free, now) {
+                    if let Some(started) = q.dequeue(free, now) {
                         let was = waiting.remove(&started.payload);
                         proptest::prop_assert!(was.is_some_and(|(t, d)| t == started.ticket && d > now));
                         let deadline = was.map_or(now, |(_, d)| d);
@@ -361,16 +364,16 @@
                     }
                 }
                 Step::Preempt => {
-                    if let Some(victim) = q.victim(Slots::NONE, |_| true) {
+                    if let Some(victim) = q.preemption_victim(Slots::NONE, |_| true) {
                         preempted += 1;
                         let at = running.iter().position(|(t, ..)| *t == victim).expect("runs");
                         let (_, id, deadline) = running.remove(at);
-                        let ticket = q.resume(victim, 1, id).expect("runs");
+                        let ticket = q.requeue(victim, 1, id).expect("runs");
                         waiting.insert(id, (ticket, deadline));
                     }
                 }
                 Step::Settle { at } if !running.is_empty() => {
-                    q.settle(running.remove(at % running.len()).0, 100, now);
+                    q.complete(running.remove(at % running.len()).0, 100, now);
                 }
                 Step::Cancel { at } if !waiting.is_empty() => {
                     let id = *waiting.keys().nth(at % waiting.len()).expect("within");
@@ -380,7 +383,7 @@
                 Step::Wait { millis } => now += Duration::from_millis(millis),
                 _ => (),
             }
-            for (id, _) in q.expire(now) {
+            for (id, _) in q.take_refused(now) {
                 proptest::prop_assert!(waiting.remove(&id).is_some());
             }
             proptest::prop_assert!(q.len() == waiting.len() && q.len() <= 12 + preempted);
@@ -390,7 +393,7 @@
         // Plenty is free, so that no slot is left to tenants with nothing waiting.
         let plenty = Slots { normal: 1000, urgent: 0 };
         let left: Vec<usize> =
-            std::iter::from_fn(|| q.start(plenty, now).map(|s| s.payload)).collect();
+            std::iter::from_fn(|| q.dequeue(plenty, now).map(|s| s.payload)).collect();
         proptest::prop_assert_eq!(left.len(), waiting.len());
         proptest::prop_assert_eq!(q.demand(), Slots::NONE);
     }
