--- a/crates/node/src/loops/pulse.rs
+++ b/crates/node/src/loops/pulse.rs
@@ -6,7 +6,7 @@
 use eelgrassmill_base::HostId;
 use eelgrassmill_config::{Config, Service, ServiceKind};
 use eelgrassmill_group::{GroupRow, can_serve};
-use eelgrassmill_route::{Candidate, Slots, fallback_part};
+use eelgrassmill_route::{Candidate, Slots, fallback_share};
 use eelgrassmill_timeline::EventKind;
 use smol_str::format_smolstr;
 
@@ -169,7 +169,7 @@
             epoch: 0,
             distance: self.core.ident.hops(fleet.hosts.get(host)),
             slots: slots.total(),
-            quota: fallback_part(slots, entries),
+            quota: fallback_share(slots, entries),
             leaving: fleet.is_leaving(host) || cfg.drains_target(host),
         })
     }
--- a/crates/node/src/loops/quota.rs
+++ b/crates/node/src/loops/quota.rs
@@ -10,7 +10,7 @@
 use eelgrassmill_peer::{
     Demand as DemandItem, Grant as GrantItem, PeerNode, QuotaReply, QuotaRequest,
 };
-use eelgrassmill_route::{Demand, Grant, QUOTA_TERM, Slots};
+use eelgrassmill_route::{QUOTA_TERM, QuotaDemand, QuotaGrant, Slots};
 use tokio::runtime::Handle;
 
 use crate::peers::Peers;
@@ -42,7 +42,7 @@
 
     /// One round of demands.
     pub(crate) fn step(&mut self) {
-        let mut by_issuer: BTreeMap<NodeId, Vec<Demand>> = BTreeMap::new();
+        let mut by_issuer: BTreeMap<NodeId, Vec<QuotaDemand>> = BTreeMap::new();
         for (shared, running, waiting) in self.wanted() {
             let now = Instant::now();
             let mut quotas = lock(&self.core.quotas);
@@ -96,7 +96,7 @@
         wanted
     }
 
-    fn ask(&self, issuer: NodeId, demands: Vec<Demand>) {
+    fn ask(&self, issuer: NodeId, demands: Vec<QuotaDemand>) {
         let req = QuotaRequest {
             from: self.core.ident.node.to_string(),
             incarnation: self.core.ident.incarnation,
@@ -162,12 +162,12 @@
     fleet.serving_nodes().map(|row| row.node.clone()).collect()
 }
 
-fn demand_item(demand: &Demand) -> DemandItem {
+fn demand_item(demand: &QuotaDemand) -> DemandItem {
     DemandItem {
         group: demand.group.to_string(),
         epoch: demand.epoch,
         seq: demand.seq,
-        holding: demand.holding,
+        holding: demand.held_seq,
         running: demand.running.normal,
         urgent_running: demand.running.urgent,
         waiting: demand.waiting.normal,
@@ -175,14 +175,14 @@
     }
 }
 
-fn demand(req: &QuotaRequest, item: &DemandItem) -> Demand {
-    Demand {
+fn demand(req: &QuotaRequest, item: &DemandItem) -> QuotaDemand {
+    QuotaDemand {
         entry: req.from.as_str().into(),
         incarnation: req.incarnation,
         group: GroupId::from(item.group.as_str()),
         epoch: item.epoch,
         seq: item.seq,
-        holding: item.holding,
+        held_seq: item.holding,
         running: Slots {
             normal: item.running,
             urgent: item.urgent_running,
@@ -194,7 +194,7 @@
     }
 }
 
-fn grant_item(grant: &Grant) -> GrantItem {
+fn grant_item(grant: &QuotaGrant) -> GrantItem {
     GrantItem {
         group: grant.group.to_string(),
         epoch: grant.epoch,
@@ -205,8 +205,8 @@
     }
 }
 
-fn grant(core: &Core, issuer: &NodeId, item: &GrantItem) -> Grant {
-    Grant {
+fn grant(core: &Core, issuer: &NodeId, item: &GrantItem) -> QuotaGrant {
+    QuotaGrant {
         issuer: issuer.clone(),
         entry: core.ident.node.clone(),
         incarnation: core.ident.incarnation,
--- a/crates/node/src/state/quotas.rs
+++ b/crates/node/src/state/quotas.rs
@@ -8,7 +8,9 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::{Epoch, GroupId, Incarnation, NodeId};
-use eelgrassmill_route::{Demand, Grant, QuotaHolder, QuotaIssuer, Slots, fallback_part};
+use eelgrassmill_route::{
+    QuotaDemand, QuotaGrant, QuotaHolder, QuotaIssuer, Slots, fallback_share,
+};
 
 /// What a group has to share, and among whom.
 #[derive(Clone, Debug)]
@@ -69,7 +71,7 @@
     /// What this entry may have running at a group.
     pub(crate) fn current(&self, group: &str, epoch: Epoch, now: Instant) -> Option<Slots> {
         let (held_for, holder) = self.holders.get(group)?;
-        (*held_for == epoch).then(|| holder.current(now))
+        (*held_for == epoch).then(|| holder.quota(now))
     }
 
     /// Whether to ask for a group in this round.
@@ -90,7 +92,7 @@
             return true;
         };
         let holder = self.holders.get(&shared.group);
-        let granted = holder.is_some_and(|(_, holder)| holder.is_granted(now));
+        let granted = holder.is_some_and(|(_, holder)| holder.has_grant(now));
         last.busy
             || !granted
             || last.issuer != shared.issuer
@@ -105,7 +107,7 @@
         running: Slots,
         waiting: Slots,
         now: Instant,
-    ) -> Demand {
+    ) -> QuotaDemand {
         let asked = Asked {
             at: now,
             issuer: shared.issuer.clone(),
@@ -130,13 +132,13 @@
         if *held_for != shared.epoch {
             (*held_for, *holder) = fresh();
         }
-        holder.share_of(shared.slots, entries);
+        holder.set_capacity(shared.slots, entries);
         holder.set_issuer(&shared.issuer);
-        holder.ask(running, waiting, now)
+        holder.next_demand(running, waiting, now)
     }
 
     /// Takes a grant for this entry.
-    pub(crate) fn on_grant(&mut self, grant: &Grant) {
+    pub(crate) fn on_grant(&mut self, grant: &QuotaGrant) {
         if let Some((_, holder)) = self.holders.get_mut(&grant.group) {
             holder.on_grant(grant);
         }
@@ -146,9 +148,9 @@
     pub(crate) fn issue(
         &mut self,
         shared: &Shared,
-        demand: &Demand,
+        demand: &QuotaDemand,
         now: Instant,
-    ) -> Option<Grant> {
+    ) -> Option<QuotaGrant> {
         if shared.issuer != self.me {
             self.issuers.remove(&shared.group);
             return None;
@@ -181,5 +183,5 @@
 
 /// What an entry may use of a group of which it holds no quota yet.
 pub(crate) fn without_quota(slots: Slots, entries: usize) -> Slots {
-    fallback_part(slots, entries.max(1) as u32)
+    fallback_share(slots, entries.max(1) as u32)
 }
--- a/crates/node/src/state/quotas/tests.rs
+++ b/crates/node/src/state/quotas/tests.rs
@@ -78,7 +78,7 @@
     expect_that!(pair.asked(30, Slots::NONE), eq(10));
     let (shared, now) = (&pair.shared, pair.now);
     let (_, holder) = &pair.entry.holders[&shared.group];
-    expect_that!(holder.is_granted(now), eq(true));
+    expect_that!(holder.has_grant(now), eq(true));
 }
 
 #[gtest]
--- a/crates/peer/examples/capacity/policy.rs
+++ b/crates/peer/examples/capacity/policy.rs
@@ -11,7 +11,7 @@
 };
 use eelgrassmill_peer::capacity::Inputs;
 use eelgrassmill_route::{
-    AdmissionRequest, Candidate, Demand, EntryView, GroupPicker, LoadLevel, QueueOptions,
+    AdmissionRequest, Candidate, EntryView, GroupPicker, LoadLevel, QueueOptions, QuotaDemand,
     QuotaIssuer, ServiceQueue, SlotKind, Slots, choose_addresses,
 };
 use eelgrassmill_timeline::{Bounds, EventKind, EventLog};
@@ -97,13 +97,13 @@
         let mut seq = 0;
         let mut ask = |entry: &SmolStr, now| {
             seq += 1;
-            let demand = Demand {
+            let demand = QuotaDemand {
                 entry: entry.clone(),
                 incarnation: 1,
                 group: "drafting/17".into(),
                 epoch: 1,
                 seq,
-                holding: seq.saturating_sub(1),
+                held_seq: seq.saturating_sub(1),
                 running: Slots::NONE,
                 waiting: Slots::NONE,
             };
--- a/crates/route/examples/entries.rs
+++ b/crates/route/examples/entries.rs
@@ -11,7 +11,7 @@
 use eelgrassmill_base::{GroupId, NodeId, Urgency};
 use eelgrassmill_route::{
     AdmissionRequest, Candidate, GroupPicker, Pick, QueueOptions, QuotaHolder, QuotaIssuer,
-    ServiceQueue, Slots, TenantUsage, Ticket, fallback_part,
+    ServiceQueue, Slots, TenantUsage, Ticket, fallback_share,
 };
 
 const ENTRIES: usize = 8;
@@ -122,7 +122,7 @@
         let zero = Instant::now();
         let (entries, slots) = match sharing {
             Sharing::OneQueue => (1, SLOTS),
-            Sharing::Equal | Sharing::Quotas => (ENTRIES, fallback_part(SLOTS, ENTRIES as u32)),
+            Sharing::Equal | Sharing::Quotas => (ENTRIES, fallback_share(SLOTS, ENTRIES as u32)),
         };
         let issuer = |g| {
             let entries = (0..ENTRIES).map(node);
@@ -264,13 +264,13 @@
                     let running = entry.in_flight.get(group).copied().unwrap_or_default();
                     let waiting = (entry.queue.len() as u32).div_ceil(GROUPS as u32);
                     let of = |normal| Slots { normal, urgent: 0 };
-                    let demand = holder.ask(of(running), of(waiting), now);
+                    let demand = holder.next_demand(of(running), of(waiting), now);
                     let issuer = self.issuers.get_mut(group);
                     if let Some(grant) = issuer.and_then(|x| x.on_demand(&demand, now)) {
                         holder.on_grant(&grant);
                     }
                 }
-                entry.picker.set_quota(group, 1, holder.current(now));
+                entry.picker.set_quota(group, 1, holder.quota(now));
             }
         }
     }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -20,7 +20,8 @@
     Slots, TenantUsage, Ticket,
 };
 pub use crate::quota::{
-    Demand, Grant, QUOTA_MARGIN, QUOTA_TERM, QuotaHolder, QuotaIssuer, fallback_part,
+    QUOTA_CLOCK_MARGIN, QUOTA_TERM, QuotaDemand, QuotaGrant, QuotaHolder, QuotaIssuer,
+    fallback_share,
 };
 pub use crate::retry::{MAX_ATTEMPTS, NoRetry, RetryBudget, backoff, may_retry};
 pub use crate::suspects::{
--- a/crates/route/src/quota/holder.rs
+++ b/crates/route/src/quota/holder.rs
@@ -6,7 +6,7 @@
 use eelgrassmill_base::{Epoch, GroupId, Incarnation, NodeId};
 
 use crate::queue::Slots;
-use crate::quota::{Demand, Grant, fallback_part};
+use crate::quota::{QuotaDemand, QuotaGrant, fallback_share};
 
 /// Demands whose answers are still awaited; an older answer is of no use.
 const MAX_AWAITED: usize = 16;
@@ -50,7 +50,7 @@
             group,
             epoch,
             issuer: None,
-            part: fallback_part(slots, entries),
+            part: fallback_share(slots, entries),
             last_seq: 0,
             awaited: VecDeque::new(),
             held: None,
@@ -58,8 +58,8 @@
     }
 
     /// Takes note of a change of the group's slots or the number of entries.
-    pub fn share_of(&mut self, slots: Slots, entries: u32) {
-        self.part = fallback_part(slots, entries);
+    pub fn set_capacity(&mut self, slots: Slots, entries: u32) {
+        self.part = fallback_share(slots, entries);
     }
 
     /// Names the issuer to ask.
@@ -75,26 +75,26 @@
     }
 
     /// Makes the next demand; `now` is just before it is sent.
-    pub fn ask(&mut self, running: Slots, waiting: Slots, now: Instant) -> Demand {
+    pub fn next_demand(&mut self, running: Slots, waiting: Slots, now: Instant) -> QuotaDemand {
         self.last_seq += 1;
         if self.awaited.len() == MAX_AWAITED {
             self.awaited.pop_front();
         }
         self.awaited.push_back((self.last_seq, now));
-        Demand {
+        QuotaDemand {
             entry: self.entry.clone(),
             incarnation: self.incarnation,
             group: self.group.clone(),
             epoch: self.epoch,
             seq: self.last_seq,
-            holding: self.held.as_ref().map_or(0, |h| h.seq),
+            held_seq: self.held.as_ref().map_or(0, |h| h.seq),
             running,
             waiting,
         }
     }
 
     /// Takes a grant, unless it is another's, doubled, or older than the one held.
-    pub fn on_grant(&mut self, grant: &Grant) -> bool {
+    pub fn on_grant(&mut self, grant: &QuotaGrant) -> bool {
         let ours = grant.entry == self.entry
             && grant.incarnation == self.incarnation
             && grant.group == self.group
@@ -118,7 +118,7 @@
     }
 
     /// What the entry may have running now.
-    pub fn current(&self, now: Instant) -> Slots {
+    pub fn quota(&self, now: Instant) -> Slots {
         match &self.held {
             Some(held) if now < held.until => held.slots,
             _ => self.part,
@@ -126,7 +126,7 @@
     }
 
     /// Whether a grant is in force.
-    pub fn is_granted(&self, now: Instant) -> bool {
+    pub fn has_grant(&self, now: Instant) -> bool {
         self.held.as_ref().is_some_and(|h| now < h.until)
     }
 }
--- a/crates/route/src/quota/issuer.rs
+++ b/crates/route/src/quota/issuer.rs
@@ -7,7 +7,7 @@
 use smallvec::SmallVec;
 
 use crate::queue::Slots;
-use crate::quota::{Demand, Grant, QUOTA_MARGIN, QUOTA_TERM, fallback_part};
+use crate::quota::{QUOTA_CLOCK_MARGIN, QUOTA_TERM, QuotaDemand, QuotaGrant, fallback_share};
 
 #[derive(Debug)]
 struct Outstanding {
@@ -109,7 +109,7 @@
     }
 
     /// Answers a demand; nothing for one that is late, doubled or for another epoch.
-    pub fn on_demand(&mut self, demand: &Demand, now: Instant) -> Option<Grant> {
+    pub fn on_demand(&mut self, demand: &QuotaDemand, now: Instant) -> Option<QuotaGrant> {
         if demand.group != self.group || demand.epoch != self.epoch {
             return None;
         }
@@ -126,8 +126,8 @@
         asker.last_seq = demand.seq;
         asker.running = demand.running;
         asker.waiting = demand.waiting;
-        asker.outstanding.retain(|g| g.seq >= demand.holding);
-        if now.saturating_duration_since(self.started) < QUOTA_TERM + QUOTA_MARGIN {
+        asker.outstanding.retain(|g| g.seq >= demand.held_seq);
+        if now.saturating_duration_since(self.started) < QUOTA_TERM + QUOTA_CLOCK_MARGIN {
             return None;
         }
         let slots = self.decide(&key, now);
@@ -136,19 +136,19 @@
 
     fn grant(
         &mut self,
-        demand: &Demand,
+        demand: &QuotaDemand,
         key: &(NodeId, Incarnation),
         slots: Slots,
         now: Instant,
-    ) -> Grant {
+    ) -> QuotaGrant {
         if let Some(asker) = self.askers.get_mut(key) {
             asker.outstanding.push(Outstanding {
                 seq: demand.seq,
                 slots,
-                until: now + QUOTA_TERM + QUOTA_MARGIN,
+                until: now + QUOTA_TERM + QUOTA_CLOCK_MARGIN,
             });
         }
-        Grant {
+        QuotaGrant {
             issuer: self.issuer.clone(),
             entry: demand.entry.clone(),
             incarnation: demand.incarnation,
@@ -161,8 +161,9 @@
     }
 
     fn drop_lapsed(&mut self, now: Instant) {
-        let silent =
-            |heard: Instant| now.saturating_duration_since(heard) >= QUOTA_TERM + QUOTA_MARGIN;
+        let silent = |heard: Instant| {
+            now.saturating_duration_since(heard) >= QUOTA_TERM + QUOTA_CLOCK_MARGIN
+        };
         for asker in self.askers.values_mut() {
             asker.outstanding.retain(|g| now < g.until);
         }
@@ -192,7 +193,7 @@
     /// Parts of the listed entries that hold no grant, or will soon hold none, and then
     /// use their fallback.
     fn held_back(&self, now: Instant) -> Slots {
-        let part = fallback_part(self.slots, self.entries.len() as u32);
+        let part = fallback_share(self.slots, self.entries.len() as u32);
         let term = QUOTA_TERM / 2;
         let fresh = |a: &Asker| now.saturating_duration_since(a.heard) < term;
         let heard = |entry: &NodeId| {
--- a/crates/route/src/quota/mod.rs
+++ b/crates/route/src/quota/mod.rs
@@ -7,7 +7,7 @@
 //!
 //! Bound on over-commitment, per kind of slot: with one issuer the valid grants
 //! never exceed the group's slots. An entry without a valid grant uses
-//! [`fallback_part`]; the issuer holds that part back for each listed entry it
+//! [`fallback_share`]; the issuer holds that part back for each listed entry it
 //! hasn't heard from. What can exceed the slots is therefore at most
 //! one part for each entry that neither holds a grant nor is held back for
 //! (it is unknown to the issuer, or the parts together exceed the slots), and
@@ -28,11 +28,11 @@
 /// How long a grant lasts.
 pub const QUOTA_TERM: Duration = Duration::from_secs(2);
 /// What the issuer adds for clocks that run at different speeds.
-pub const QUOTA_MARGIN: Duration = Duration::from_millis(100);
+pub const QUOTA_CLOCK_MARGIN: Duration = Duration::from_millis(100);
 
 value! {
     /// What an entry asks of a group's issuer, a few times in a term.
-    pub struct Demand {
+    pub struct QuotaDemand {
         /// The entry that asks.
         pub entry: NodeId,
         /// This start of it. Its grants die with it.
@@ -45,7 +45,7 @@
         pub seq: u64,
         /// The newest demand whose grant the entry has taken, 0 for none. It
         /// will use no grant older than that.
-        pub holding: u64,
+        pub held_seq: u64,
         /// What it has running there now.
         pub running: Slots,
         /// What it would like to start besides.
@@ -53,7 +53,7 @@
     }
 
     /// The issuer's answer to one demand.
-    pub struct Grant {
+    pub struct QuotaGrant {
         /// Who issues.
         pub issuer: NodeId,
         /// The entry it is for.
@@ -77,7 +77,7 @@
 ///
 /// At least one, so that an entry that is cut off from the issuer but not from
 /// the group keeps serving.
-pub fn fallback_part(slots: Slots, entries: u32) -> Slots {
+pub fn fallback_share(slots: Slots, entries: u32) -> Slots {
     let part = |n: u32| (n / entries.max(1)).max(n.min(1));
     Slots {
         normal: part(slots.normal),
--- a/crates/route/tests/quota.rs
+++ b/crates/route/tests/quota.rs
@@ -70,8 +70,8 @@
 
 enum Message {
     /// To the issuer with this number.
-    Demand(usize, Demand),
-    Grant(usize, Grant),
+    Demand(usize, QuotaDemand),
+    Grant(usize, QuotaGrant),
 }
 
 struct World {
@@ -108,7 +108,7 @@
                 urgent,
             } => {
                 let waiting = Slots { normal, urgent };
-                let demand = self.holders[entry].ask(Slots::NONE, waiting, self.now);
+                let demand = self.holders[entry].next_demand(Slots::NONE, waiting, self.now);
                 self.messages
                     .push(Message::Demand(self.asks[entry], demand));
             }
@@ -155,10 +155,10 @@
     }
 
     fn granted(&self) -> Slots {
-        let granted = self.holders.iter().filter(|h| h.is_granted(self.now));
+        let granted = self.holders.iter().filter(|h| h.has_grant(self.now));
         granted.fold(Slots::NONE, |sum, h| Slots {
-            normal: sum.normal + h.current(self.now).normal,
-            urgent: sum.urgent + h.current(self.now).urgent,
+            normal: sum.normal + h.quota(self.now).normal,
+            urgent: sum.urgent + h.quota(self.now).urgent,
         })
     }
 }
@@ -220,7 +220,7 @@
             world.step(Step::Deliver { at: 0, keep: false });
         }
     }
-    let held: Vec<_> = world.holders.iter().map(|h| h.current(world.now)).collect();
+    let held: Vec<_> = world.holders.iter().map(|h| h.quota(world.now)).collect();
     expect_that!(held[0].normal, eq(SLOTS.normal - 3));
     expect_that!(held.iter().map(|s| s.urgent).max(), some(eq(1)));
     expect_that!(world.granted(), eq(SLOTS));
@@ -231,7 +231,7 @@
 #[googletest::test]
 fn entries_without_an_issuer_fall_back_to_a_safe_part() {
     let mut world = World::new();
-    world.now += QUOTA_TERM + QUOTA_MARGIN;
+    world.now += QUOTA_TERM + QUOTA_CLOCK_MARGIN;
     world.step(Step::Ask {
         entry: 0,
         normal: 13,
@@ -240,11 +240,8 @@
     world.step(Step::Deliver { at: 0, keep: false });
     world.step(Step::Deliver { at: 0, keep: false });
     let asked = world.now;
-    expect_that!(
-        world.holders[0].is_granted(asked + QUOTA_TERM / 2),
-        eq(true)
-    );
-    let part = world.holders[0].current(asked + QUOTA_TERM);
+    expect_that!(world.holders[0].has_grant(asked + QUOTA_TERM / 2), eq(true));
+    let part = world.holders[0].quota(asked + QUOTA_TERM);
     expect_that!(
         part,
         eq(Slots {
@@ -254,7 +251,7 @@
     );
     expect_that!(part.normal * ENTRIES as u32, le(SLOTS.normal));
     expect_that!(
-        fallback_part(SLOTS, 100),
+        fallback_share(SLOTS, 100),
         eq(Slots {
             normal: 1,
             urgent: 1
@@ -262,9 +259,9 @@
     );
 }
 
-fn ask(holder: &mut QuotaHolder, running: u32, waiting: u32, now: Instant) -> Demand {
+fn ask(holder: &mut QuotaHolder, running: u32, waiting: u32, now: Instant) -> QuotaDemand {
     let slots = |normal| Slots { normal, urgent: 0 };
-    holder.ask(slots(running), slots(waiting), now)
+    holder.next_demand(slots(running), slots(waiting), now)
 }
 
 /// An entry's share has been cut and it has said so; the others use the slots. Then
@@ -272,19 +269,19 @@
 #[googletest::test]
 fn a_late_larger_grant_is_not_taken() {
     let start = Instant::now();
-    let now = start + QUOTA_TERM + QUOTA_MARGIN;
+    let now = start + QUOTA_TERM + QUOTA_CLOCK_MARGIN;
     let (mut issuer, mut holder) = (issuer(0, start), holder(0, 1));
     let first = ask(&mut holder, 0, 9, now);
     let second = ask(&mut holder, 0, 0, now);
     let large = issuer.on_demand(&first, now).expect("a grant");
-    let small = Grant {
+    let small = QuotaGrant {
         slots: Slots::NONE,
         ..issuer.on_demand(&second, now).expect("a grant")
     };
     expect_that!(large.slots.normal, gt(0));
     expect_that!(holder.on_grant(&small), eq(true));
     expect_that!(holder.on_grant(&large), eq(false));
-    expect_that!(holder.current(now), eq(Slots::NONE));
+    expect_that!(holder.quota(now), eq(Slots::NONE));
 }
 
 /// Another node takes over as issuer and knows nothing of the former one's grants. An
@@ -292,14 +289,14 @@
 #[googletest::test]
 fn a_grant_ends_with_its_issuer() {
     let start = Instant::now();
-    let now = start + QUOTA_TERM + QUOTA_MARGIN;
+    let now = start + QUOTA_TERM + QUOTA_CLOCK_MARGIN;
     let (mut issuer, mut holder) = (issuer(0, start), holder(0, 1));
     let grant = issuer
         .on_demand(&ask(&mut holder, 0, 9, now), now)
         .expect("a grant");
     expect_that!(holder.on_grant(&grant), eq(true));
     holder.set_issuer(&"issuer-1".into());
-    expect_that!(holder.is_granted(now), eq(false));
+    expect_that!(holder.has_grant(now), eq(false));
     expect_that!(holder.on_grant(&grant), eq(false));
 }
 
@@ -308,7 +305,7 @@
 #[googletest::test]
 fn a_doubled_demand_changes_nothing() {
     let start = Instant::now();
-    let now = start + QUOTA_TERM + QUOTA_MARGIN;
+    let now = start + QUOTA_TERM + QUOTA_CLOCK_MARGIN;
     let (mut issuer, mut holder) = (issuer(0, start), holder(0, 1));
     let first = ask(&mut holder, 0, 0, now);
     let second = ask(&mut holder, 9, 4, now);
