--- a/crates/claim/tests/fuzz/world.rs
+++ b/crates/claim/tests/fuzz/world.rs
@@ -126,7 +126,7 @@
     pub(crate) fn submit(&mut self, entry: usize, key: usize, body: u8) {
         let call = self.calls.len();
         let at = &mut self.entries[entry];
-        at.budget.on_request(&TENANT.into());
+        at.budget.deposit(&TENANT.into());
         let offer = AdmissionRequest {
             tenant: TENANT.into(),
             weight: 1,
--- a/crates/node/src/entry/handler.rs
+++ b/crates/node/src/entry/handler.rs
@@ -7,7 +7,7 @@
 use eelgrassmill_base::{Outcome, Tokens};
 use eelgrassmill_config::{Config, Service, ServiceKind, Tenant};
 use eelgrassmill_engine::StreamEvent;
-use eelgrassmill_route::{NoRetry, PrefixHashes, backoff, may_retry, prefix_hashes};
+use eelgrassmill_route::{PrefixHashes, RetryDenied, backoff, may_retry, prefix_hashes};
 use eelgrassmill_timeline::EventKind;
 use http::request::Parts;
 use http::{HeaderMap, Request, Response, StatusCode, header};
@@ -70,7 +70,7 @@
         let wishes = parse::wishes(&parts)?;
         let body = parse::read_body(body).await?;
         let call = self.call(&cfg, tenant, route, &parts, wishes, body)?;
-        lock(&self.core.retries).on_request(&call.tenant);
+        lock(&self.core.retries).deposit(&call.tenant);
         self.core.count(&call.tenant, |c| c.admitted += 1);
         self.core.journal.note(EventKind::RequestAdmitted {
             request: call.id.clone(),
@@ -321,7 +321,7 @@
     answer::read(core, call, started).await.map(Ran::Whole)
 }
 
-fn retry(core: &Core, call: &Call, attempt: u32, failure: &Failure) -> Result<(), NoRetry> {
+fn retry(core: &Core, call: &Call, attempt: u32, failure: &Failure) -> Result<(), RetryDenied> {
     let mut budget = lock(&core.retries);
     may_retry(
         failure.outcome,
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -23,7 +23,7 @@
     QUOTA_CLOCK_MARGIN, QUOTA_TERM, QuotaDemand, QuotaGrant, QuotaHolder, QuotaIssuer,
     fallback_share,
 };
-pub use crate::retry::{MAX_ATTEMPTS, NoRetry, RetryBudget, backoff, may_retry};
+pub use crate::retry::{MAX_ATTEMPTS, RetryBudget, RetryDenied, backoff, may_retry};
 pub use crate::suspects::{
     COMMON_CAUSE_WINDOW, CRASH_TTL, ClearedRecord, CrashId, CrashRecord, QUARANTINE_TERM,
     RequestFingerprint, SuspectStatus, SuspectTracker, SuspectUpdate, TrialRecord, crash_id,
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -23,7 +23,7 @@
 value! { copy
     /// Why a request isn't tried again.
     #[derive(thiserror::Error)]
-    pub enum NoRetry {
+    pub enum RetryDenied {
         /// It was answered.
         #[error("it was answered")]
         Answered,
@@ -32,10 +32,10 @@
         NotRepeatable,
         /// It was tried often enough.
         #[error("it was tried {MAX_ATTEMPTS} times")]
-        TooOften,
+        AttemptsExhausted,
         /// The budget of its tenant or of the node is used up.
         #[error("the retry budget is used up")]
-        NoBudget,
+        BudgetExhausted,
     }
 }
 
@@ -61,7 +61,7 @@
 
 impl RetryBudget {
     /// Pays in for a request that a caller made. Not for retries of it.
-    pub fn on_request(&mut self, tenant: &TenantId) {
+    pub fn deposit(&mut self, tenant: &TenantId) {
         self.node = (self.node + PAY_IN).min(MAX_SAVED * NODE_FACTOR);
         match self.tenants.get_mut(tenant) {
             Some(saved) => *saved = (*saved + PAY_IN).min(MAX_SAVED),
@@ -76,7 +76,7 @@
         self.tenants.retain(|t, _| configured(t));
     }
 
-    fn spend(&mut self, tenant: &TenantId) -> bool {
+    fn withdraw(&mut self, tenant: &TenantId) -> bool {
         let Some(saved) = self.tenants.get_mut(tenant) else {
             return false;
         };
@@ -102,17 +102,17 @@
     attempt: u32,
     tenant: &TenantId,
     budget: &mut RetryBudget,
-) -> Result<(), NoRetry> {
+) -> Result<(), RetryDenied> {
     match outcome {
-        Outcome::Answered => return Err(NoRetry::Answered),
-        Outcome::Unknown if !repeatable => return Err(NoRetry::NotRepeatable),
+        Outcome::Answered => return Err(RetryDenied::Answered),
+        Outcome::Unknown if !repeatable => return Err(RetryDenied::NotRepeatable),
         Outcome::Unknown | Outcome::NotRun => (),
     }
     if attempt >= MAX_ATTEMPTS {
-        return Err(NoRetry::TooOften);
+        return Err(RetryDenied::AttemptsExhausted);
     }
-    if !budget.spend(tenant) {
-        return Err(NoRetry::NoBudget);
+    if !budget.withdraw(tenant) {
+        return Err(RetryDenied::BudgetExhausted);
     }
     Ok(())
 }
--- a/crates/route/tests/retry.rs
+++ b/crates/route/tests/retry.rs
@@ -14,12 +14,12 @@
     let (greedy, quiet) = ("greedy".into(), "quiet".into());
     let mut retried = 0;
     for _ in 0..1000 {
-        budget.on_request(&greedy);
+        budget.deposit(&greedy);
         retried += u32::from(may_retry(Outcome::NotRun, false, 1, &greedy, &mut budget).is_ok());
     }
     expect_that!(retried, le(110));
     expect_that!(retried, ge(100));
-    budget.on_request(&quiet);
+    budget.deposit(&quiet);
     expect_that!(
         may_retry(Outcome::NotRun, false, 1, &quiet, &mut budget),
         ok(anything())
@@ -32,21 +32,24 @@
 fn only_what_may_run_again_is_retried() {
     let mut budget = RetryBudget::default();
     let tenant = "lindach".into();
-    budget.on_request(&tenant);
+    budget.deposit(&tenant);
     let mut ask = |outcome, repeatable, attempt| {
         may_retry(outcome, repeatable, attempt, &tenant, &mut budget)
     };
     expect_that!(
         ask(Outcome::Unknown, false, 1),
-        err(eq(NoRetry::NotRepeatable))
+        err(eq(RetryDenied::NotRepeatable))
     );
     expect_that!(ask(Outcome::Unknown, true, 1), ok(anything()));
     expect_that!(ask(Outcome::NotRun, false, 1), ok(anything()));
     expect_that!(
         ask(Outcome::NotRun, true, MAX_ATTEMPTS),
-        err(eq(NoRetry::TooOften))
+        err(eq(RetryDenied::AttemptsExhausted))
+    );
+    expect_that!(
+        ask(Outcome::Answered, true, 1),
+        err(eq(RetryDenied::Answered))
     );
-    expect_that!(ask(Outcome::Answered, true, 1), err(eq(NoRetry::Answered)));
 }
 
 /// Many requests fail in one instant; their retries must not arrive in one instant.
