--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -11,7 +11,7 @@
 
 value! {
     /// What a request's headers say.
-    pub struct CallHead {
+    pub struct RequestMetadata {
         /// The id of this attempt of the caller; empty where it has none.
         pub id: RequestId,
         /// How long the caller waits.
@@ -28,7 +28,7 @@
 /// A request on its way.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
-    pub(crate) head: CallHead,
+    pub(crate) metadata: RequestMetadata,
     pub(crate) method: Method,
     /// Path and query as the caller wrote them.
     pub(crate) path: SmolStr,
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -18,7 +18,7 @@
 use crate::core::Core;
 use crate::heads::locked;
 use crate::metrics::RepeatReason;
-use crate::ports::{AnswerMeaning, AttemptHead, Dialect, Platform};
+use crate::ports::{AnswerMeaning, AttemptMetadata, Dialect, Platform};
 
 /// Longest whole answer that is held in memory.
 const MAX_ANSWER: usize = 8 << 20;
@@ -273,7 +273,7 @@
     urgency: Option<u8>,
     resume_after: Option<SmolStr>,
 ) -> TargetRequest {
-    let attempt = AttemptHead {
+    let attempt = AttemptMetadata {
         host: host.clone(),
         timeout: call.left(),
         tenant: call.tenant(),
@@ -311,5 +311,5 @@
         Attempt::NotRun(why) => ("not-run", why.clone()),
         Attempt::Unknown(why) => ("unknown", why.clone()),
     };
-    info!(event = "attempt", request = %call.head.id, host = %host.id, outcome, %why);
+    info!(event = "attempt", request = %call.metadata.id, host = %host.id, outcome, %why);
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -38,12 +38,12 @@
 mod watch;
 
 pub use crate::answer::{Refusal, RefusalCause};
-pub use crate::call::CallHead;
+pub use crate::call::RequestMetadata;
 pub use crate::config::{Addresses, GatewayConfig, RetryRules};
 pub use crate::gateway::{Gateway, GatewayError};
 pub use crate::logs::{LogQueue, start as start_logs};
 pub use crate::ports::{
-    Accepted, AnswerMeaning, AttemptHead, Cursor, Dialect, HostControl, HostReport,
+    Accepted, AnswerMeaning, AttemptMetadata, Cursor, Dialect, HostControl, HostReport,
     HostUnavailable, LeaderElection, LeaderRecord, OperatorChange, Platform, SideRequest, Source,
     SourceError,
 };
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -10,7 +10,7 @@
 use smallvec::SmallVec;
 use smol_str::SmolStr;
 
-use crate::call::CallHead;
+use crate::call::RequestMetadata;
 
 /// A point in a source's history.
 pub type Cursor = u64;
@@ -138,7 +138,7 @@
 
 value! {
     /// What one attempt adds to a caller's headers.
-    pub struct AttemptHead {
+    pub struct AttemptMetadata {
         /// The host that must run it; another one at its address refuses.
         pub host: HostId,
         /// The time left for it.
@@ -189,10 +189,10 @@
     fn key<'h>(&self, headers: &'h HeaderMap) -> Option<&'h str>;
 
     /// What the request's headers say.
-    fn call_head(&self, headers: &HeaderMap) -> CallHead;
+    fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// The headers that a target gets.
-    fn target_headers(&self, caller: &HeaderMap, attempt: &AttemptHead) -> HeaderMap;
+    fn target_headers(&self, caller: &HeaderMap, attempt: &AttemptMetadata) -> HeaderMap;
 
     /// What an answer's head means.
     fn meaning(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMeaning;
--- a/crates/gateway/src/scheduler_client.rs
+++ b/crates/gateway/src/scheduler_client.rs
@@ -272,7 +272,7 @@
     let patience = wanted.until.saturating_duration_since(now);
     SlotRequest {
         number,
-        prompt: call.head.prompt_tokens,
+        prompt: call.metadata.prompt_tokens,
         resumed: wanted.resumed,
         urgency: call.urgency().into(),
         on_time_ms: ms(on_time),
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -246,7 +246,7 @@
                 .ended(service, kind, response.status().as_str());
             if took > call.route.aim {
                 info!(
-                    event = "request", request = %call.head.id, route = %call.route.name,
+                    event = "request", request = %call.metadata.id, route = %call.route.name,
                     outcome = "late", ms = took.as_millis() as u64, waited_ms,
                 );
             }
@@ -255,7 +255,7 @@
             let outcome = refusal.cause.name();
             core.metrics.ended(service, kind, outcome);
             info!(
-                event = "request", request = %call.head.id, route = %call.route.name, outcome,
+                event = "request", request = %call.metadata.id, route = %call.route.name, outcome,
                 ms = took.as_millis() as u64, waited_ms, config = core.catalog().version(),
             );
         }
@@ -280,10 +280,13 @@
     let route = catalog.route(host, parts.uri.path()).map_err(refused)?;
     let key = core.platform.dialect().key(&parts.headers);
     let caller = catalog.caller(route, key).map_err(refused)?;
-    let head = core.platform.dialect().call_head(&parts.headers);
-    let patience = head.timeout.unwrap_or(DEFAULT_TIMEOUT).min(route.timeout);
+    let metadata = core.platform.dialect().request_metadata(&parts.headers);
+    let patience = metadata
+        .timeout
+        .unwrap_or(DEFAULT_TIMEOUT)
+        .min(route.timeout);
     let deadline = arrived + patience;
-    let first_sent = first_sent(core, head.timeout, route.timeout, arrived);
+    let first_sent = first_sent(core, metadata.timeout, route.timeout, arrived);
     let path = parts
         .uri
         .path_and_query()
@@ -292,7 +295,7 @@
     let most = limits(core).body_bytes;
     let body = read_body(body, most, deadline).await?;
     Ok(Call {
-        head,
+        metadata,
         method: parts.method,
         path,
         headers: parts.headers,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -98,7 +98,7 @@
 ) -> Result<Response<AnswerBody>, Refusal> {
     let service = pick_service(core, call)?;
     core.count_request(&service);
-    let model = call.head.model.clone().unwrap_or_default();
+    let model = call.metadata.model.clone().unwrap_or_default();
     let mut run = Run {
         core: Arc::clone(core),
         call: Arc::clone(call),
@@ -195,7 +195,7 @@
             .events
             .last_id()
             .cloned()
-            .or_else(|| self.call.head.resume_after.clone());
+            .or_else(|| self.call.metadata.resume_after.clone());
         let urgency = Some(self.call.urgency().min(9));
         let req = target_request(&*self.core, &self.call, &head.host, urgency, resume);
         let sent = tokio::select! {
@@ -398,7 +398,7 @@
     /// Logs that the stream is cut off: the caller sees its channel end without the last event.
     fn cut(&self, why: &str) {
         info!(
-            event = "request", request = %self.call.head.id, outcome = "cut", why,
+            event = "request", request = %self.call.metadata.id, outcome = "cut", why,
             runs = self.runs, after = self.events.last_id().map_or("", |id| id.as_str()),
         );
         self.count_end("cut");
@@ -412,7 +412,7 @@
 
     fn log_attempt(&self, head: &Head, outcome: &str, why: &str) {
         info!(
-            event = "attempt", request = %self.call.head.id, host = %head.host,
+            event = "attempt", request = %self.call.metadata.id, host = %head.host,
             replica = %head.replica, epoch = head.epoch, outcome, why,
             after = self.events.last_id().map_or("", |id| id.as_str()),
         );
