--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -16,7 +16,7 @@
 
 use crate::core::Core;
 use crate::heads::locked;
-use crate::ports::{Accepted, Platform};
+use crate::ports::{AcceptedConfig, Platform};
 
 /// A node that hears of a newer configuration gives the store this long to show it: the
 /// store does so within 10 ms, and within some 250 ms when it is slow.
@@ -47,10 +47,10 @@
     }
 
     /// The configuration in force with its text; `None` before there is one.
-    pub(crate) fn accepted(&self) -> Option<Accepted> {
+    pub(crate) fn accepted(&self) -> Option<AcceptedConfig> {
         let held = self.held.read().unwrap_or_else(PoisonError::into_inner);
         let known = held.catalog.version() > 0;
-        known.then(|| Accepted {
+        known.then(|| AcceptedConfig {
             catalog: Catalog::clone(&held.catalog),
             text: held.text.clone(),
         })
@@ -73,7 +73,7 @@
     ///
     /// The store's answers may be seconds old, and a new connection may show an older
     /// state than the last one did; a version that has been in force is never left.
-    fn offer(&self, accepted: Accepted) -> bool {
+    fn offer(&self, accepted: AcceptedConfig) -> bool {
         let mut held = self.held.write().unwrap_or_else(PoisonError::into_inner);
         if accepted.catalog.version() <= held.catalog.version() {
             return false;
@@ -111,7 +111,7 @@
 }
 
 /// Puts a configuration in force, unless it is no newer. `source` is where it is from.
-pub(crate) fn take<P: Platform>(core: &Core<P>, accepted: Accepted, source: &str) {
+pub(crate) fn take<P: Platform>(core: &Core<P>, accepted: AcceptedConfig, source: &str) {
     let version = accepted.catalog.version();
     if !core.configuration.offer(accepted) {
         return;
@@ -146,7 +146,7 @@
         Ok(text) => core
             .platform
             .read_catalog(&text.text)
-            .map(|catalog| Accepted {
+            .map(|catalog| AcceptedConfig {
                 catalog,
                 text: text.text,
             }),
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -18,7 +18,7 @@
 use crate::core::Core;
 use crate::heads::locked;
 use crate::metrics::RepeatReason;
-use crate::ports::{AnswerMeaning, AttemptMetadata, Dialect, Platform};
+use crate::ports::{AttemptMetadata, Dialect, Platform, ResponseClass};
 
 /// Longest whole answer that is held in memory.
 const MAX_ANSWER: usize = 8 << 20;
@@ -235,11 +235,11 @@
         Err(err) => return Attempt::Unknown(err.to_string().into()),
     };
     let status = response.status;
-    match core.platform.dialect().meaning(status, &response.headers) {
-        AnswerMeaning::NotRun => Attempt::NotRun("refused".into()),
-        AnswerMeaning::WrongHost => Attempt::NotRun("another host has this address".into()),
-        AnswerMeaning::Unproven => Attempt::Unknown("answer without proof".into()),
-        AnswerMeaning::Answered => {
+    match core.platform.dialect().classify(status, &response.headers) {
+        ResponseClass::NotRun => Attempt::NotRun("refused".into()),
+        ResponseClass::WrongHost => Attempt::NotRun("another host has this address".into()),
+        ResponseClass::Unverified => Attempt::Unknown("answer without proof".into()),
+        ResponseClass::Answered => {
             let read = read_whole(response, until).await;
             if read.is_ok() && !status.is_server_error() {
                 running.outcome = TargetOutcome::Served;
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -19,7 +19,7 @@
 use crate::peers::{self, Peers};
 use crate::ports::Platform;
 use crate::server::{self, OpenConnections};
-use crate::{configuration, leader, side, watch};
+use crate::{configuration, leader, node_api, watch};
 
 /// After the signal to stop new connections are still taken for this long, in which
 /// callers' answers with this node's address run out: they keep them for the time that
@@ -72,8 +72,8 @@
         let peer = peers::start(&core, incarnation(), &Handle::current())?;
         let open = Arc::new(OpenConnections::default());
         let port = serve_callers(&core, callers, Arc::clone(&open));
-        serve_side(&core, ready);
-        serve_side(&core, directory);
+        serve_node_api(&core, ready);
+        serve_node_api(&core, directory);
         spawn_loops(&core);
         Ok(Gateway {
             core,
@@ -169,7 +169,7 @@
 }
 
 /// Serves questions to the node itself until the process ends.
-fn serve_side<P: Platform>(core: &Arc<Core<P>>, listener: TcpListener) {
+fn serve_node_api<P: Platform>(core: &Arc<Core<P>>, listener: TcpListener) {
     let (for_limits, for_calls) = (Arc::clone(core), Arc::clone(core));
     let (never, stopping) = tokio::sync::watch::channel(false);
     let limits = move || server::limits(&*for_limits);
@@ -177,7 +177,7 @@
     tokio::spawn(async move {
         let _never = never;
         server::listen(listener, open, limits, stopping, move |req| {
-            side::answer(Arc::clone(&for_calls), req)
+            node_api::answer(Arc::clone(&for_calls), req)
         })
         .await;
     });
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -23,6 +23,7 @@
 mod list_codec;
 mod logs;
 mod metrics;
+mod node_api;
 mod nodes;
 mod peers;
 mod planning;
@@ -31,7 +32,6 @@
 mod scheduler_client;
 mod server;
 mod settings;
-mod side;
 mod snapshot_relay;
 mod story;
 mod stream;
@@ -43,8 +43,8 @@
 pub use crate::gateway::{Gateway, GatewayError};
 pub use crate::logs::{LogQueue, start as start_logs};
 pub use crate::ports::{
-    Accepted, AnswerMeaning, AttemptMetadata, Cursor, Dialect, HostControl, HostReport,
-    HostUnavailable, LeaderElection, LeaderRecord, OperatorChange, Platform, SideRequest, Source,
+    AcceptedConfig, AttemptMetadata, Cursor, Dialect, HostControl, HostReport, HostUnavailable,
+    LeaderElection, LeaderRecord, NodeRequest, OperatorChange, Platform, ResponseClass, Source,
     SourceError,
 };
 pub use crate::settings::{SECTIONS, Settings, SettingsError};
--- a/crates/gateway/src/side.rs
+++ b/crates/gateway/src/node_api.rs
@@ -12,7 +12,7 @@
 use crate::body::AnswerBody;
 use crate::core::Core;
 use crate::heads::locked;
-use crate::ports::{Dialect, Platform, SideRequest};
+use crate::ports::{Dialect, NodeRequest, Platform};
 
 /// Answers one request to the node itself.
 pub(crate) async fn answer<P: Platform>(
@@ -23,12 +23,12 @@
         match core
             .platform
             .dialect()
-            .side_request(req.method(), req.uri())
+            .node_request(req.method(), req.uri())
         {
-            SideRequest::Ready => ready(&core),
-            SideRequest::Resolve { failure_domain } => resolve(&core, &failure_domain),
-            SideRequest::Metrics => text(core.metrics.page().into(), "text/plain; version=0.0.4"),
-            SideRequest::Unknown => status(StatusCode::NOT_FOUND),
+            NodeRequest::Ready => ready(&core),
+            NodeRequest::Resolve { failure_domain } => resolve(&core, &failure_domain),
+            NodeRequest::Metrics => text(core.metrics.page().into(), "text/plain; version=0.0.4"),
+            NodeRequest::Unknown => status(StatusCode::NOT_FOUND),
         },
     )
 }
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -52,7 +52,7 @@
 
 /// An accepted configuration, with the text that it was read from.
 #[derive(Clone, Debug)]
-pub struct Accepted {
+pub struct AcceptedConfig {
     /// What it says.
     pub catalog: Catalog,
     /// The platform's own text, which nodes tell each other.
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub enum OperatorChange {
     /// A configuration was accepted.
-    Configuration(Accepted),
+    Configuration(AcceptedConfig),
     /// A failure domain was evacuated or taken back.
     Evacuation(EvacuationChange),
 }
@@ -154,7 +154,7 @@
 
 value! { copy
     /// What an answer's head says beside its status.
-    pub enum AnswerMeaning {
+    pub enum ResponseClass {
         /// The host answered the request.
         Answered,
         /// The host did not run it and never will.
@@ -162,13 +162,13 @@
         /// Another host has this address; it did not run the request.
         WrongHost,
         /// It claims success but lacks what every answer of a host has.
-        Unproven,
+        Unverified,
     }
 }
 
 value! {
     /// A request to a node itself.
-    pub enum SideRequest {
+    pub enum NodeRequest {
         /// Whether the node takes requests.
         Ready,
         /// Which addresses a caller in this failure domain should use.
@@ -195,13 +195,13 @@
     fn target_headers(&self, caller: &HeaderMap, attempt: &AttemptMetadata) -> HeaderMap;
 
     /// What an answer's head means.
-    fn meaning(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMeaning;
+    fn classify(&self, status: StatusCode, headers: &HeaderMap) -> ResponseClass;
 
     /// The headers of a target's answer that its caller gets.
     fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Reads a request to the node itself.
-    fn side_request(&self, method: &http::Method, uri: &http::Uri) -> SideRequest;
+    fn node_request(&self, method: &http::Method, uri: &http::Uri) -> NodeRequest;
 
     /// The addresses for callers, who may keep them for `ttl`.
     fn addresses(&self, addresses: &[SmolStr], ttl: Duration) -> Bytes;
--- a/crates/gateway/src/snapshot_relay.rs
+++ b/crates/gateway/src/snapshot_relay.rs
@@ -20,7 +20,7 @@
 use crate::heads::locked;
 use crate::leader;
 use crate::list_codec;
-use crate::ports::{Accepted, Cursor, OperatorChange, Platform, SourceError};
+use crate::ports::{AcceptedConfig, Cursor, OperatorChange, Platform, SourceError};
 
 /// A copy that is older than this is of no use: with one more question to the store a
 /// change must be seen within 2 s, the shortest bound that platforms set. Copies in order
@@ -179,7 +179,7 @@
         Ok(match list_codec::decode(bytes)? {
             OperatorMessage::Configuration(text) => {
                 let (catalog, text) = (platform.read_catalog(&text)?, text.into_owned());
-                OperatorChange::Configuration(Accepted { catalog, text })
+                OperatorChange::Configuration(AcceptedConfig { catalog, text })
             }
             OperatorMessage::Evacuation(change) => OperatorChange::Evacuation(change.into_owned()),
         })
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -20,7 +20,7 @@
 use crate::events::EventSplitter;
 use crate::heads::{Head, InProgress};
 use crate::metrics::RepeatReason;
-use crate::ports::{AnswerMeaning, Dialect, Platform};
+use crate::ports::{Dialect, Platform, ResponseClass};
 
 /// Pieces that wait for a slow caller before its stream stops reading from the host.
 const PIECES_AHEAD: usize = 64;
@@ -219,17 +219,17 @@
             .core
             .platform
             .dialect()
-            .meaning(response.status, &response.headers)
+            .classify(response.status, &response.headers)
         {
-            AnswerMeaning::NotRun | AnswerMeaning::WrongHost => {
+            ResponseClass::NotRun | ResponseClass::WrongHost => {
                 self.log_attempt(&head, "not-run", response.status.as_str());
                 Err(self.rejected(&mut slot))
             }
-            AnswerMeaning::Unproven => {
+            ResponseClass::Unverified => {
                 self.log_attempt(&head, "unknown", "answer without proof");
                 Err(self.failed(&mut slot))
             }
-            AnswerMeaning::Answered if response.status.is_server_error() => {
+            ResponseClass::Answered if response.status.is_server_error() => {
                 self.log_attempt(&head, "failed", response.status.as_str());
                 let retries = self.may_run_again();
                 let failed = self.failed(&mut slot);
@@ -239,7 +239,7 @@
                     Ok(StartedResponse { slot, response })
                 }
             }
-            AnswerMeaning::Answered => Ok(StartedResponse { slot, response }),
+            ResponseClass::Answered => Ok(StartedResponse { slot, response }),
         }
     }
 
