--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -7,7 +7,7 @@
 
 /// The bound on repeats over all nodes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryRules {
+pub struct RetryBudgetConfig {
     /// Any span of this length counts.
     pub window: Duration,
     /// Repeats for each request of a caller.
@@ -46,7 +46,7 @@
     /// Where it listens.
     pub addresses: Addresses,
     /// The bound on repeats.
-    pub retries: RetryRules,
+    pub retries: RetryBudgetConfig,
     /// From the signal to stop until the process is killed.
     pub grace: Duration,
     /// How long callers keep an answer with addresses.
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -299,7 +299,7 @@
 ) -> Response<AnswerBody> {
     let mut answer = Response::new(AnswerBody::whole(body));
     *answer.status_mut() = status;
-    *answer.headers_mut() = core.platform.dialect().caller_headers(headers);
+    *answer.headers_mut() = core.platform.dialect().response_headers(headers);
     answer
 }
 
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -21,6 +21,7 @@
 mod inbox;
 mod leader;
 mod list_codec;
+mod log_report;
 mod logs;
 mod metrics;
 mod node_api;
@@ -33,19 +34,18 @@
 mod server;
 mod settings;
 mod snapshot_relay;
-mod story;
 mod stream;
 mod watch;
 
 pub use crate::answer::{Refusal, RefusalCause};
 pub use crate::call::RequestMetadata;
-pub use crate::config::{Addresses, GatewayConfig, RetryRules};
+pub use crate::config::{Addresses, GatewayConfig, RetryBudgetConfig};
 pub use crate::gateway::{Gateway, GatewayError};
-pub use crate::logs::{LogQueue, start as start_logs};
+pub use crate::log_report::{LogReader, Subject};
+pub use crate::logs::{LogQueue, init_logging};
 pub use crate::ports::{
     AcceptedConfig, AttemptMetadata, Cursor, Dialect, HostControl, HostReport, HostUnavailable,
     LeaderElection, LeaderRecord, NodeRequest, OperatorChange, Platform, ResponseClass, Source,
     SourceError,
 };
 pub use crate::settings::{SECTIONS, Settings, SettingsError};
-pub use crate::story::{LogReader, Subject};
--- a/crates/gateway/src/story.rs
+++ b/crates/gateway/src/log_report.rs
@@ -69,14 +69,14 @@
     }
 
     /// What the lines say of `subject`, one text a line.
-    pub fn tell(&self, subject: &Subject) -> Vec<String> {
+    pub fn report(&self, subject: &Subject) -> Vec<String> {
         let mut found: Vec<&Line> = self.lines.iter().filter(|l| l.is_about(subject)).collect();
         if let Subject::Request(_) = subject {
             found.extend(self.around(&found));
         }
         found.sort_by_key(|l| l.at_ms);
         found.dedup();
-        let mut told: Vec<String> = found.into_iter().map(Line::tell).collect();
+        let mut told: Vec<String> = found.into_iter().map(Line::report).collect();
         if told.is_empty() {
             let nodes: Vec<&str> = self.sources.iter().map(String::as_str).collect();
             told.push(format!(
@@ -143,7 +143,7 @@
         }
     }
 
-    fn tell(&self) -> String {
+    fn report(&self) -> String {
         let time = self
             .text("timestamp")
             .and_then(|t| t.get(11..23))
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -172,7 +172,7 @@
 ///
 /// # Errors
 /// When no thread can be started.
-pub fn start(level: &str) -> io::Result<LogQueue> {
+pub fn init_logging(level: &str) -> io::Result<LogQueue> {
     let queue = LogQueue::start(io::stdout())?;
     let level: LevelFilter = level.parse().unwrap_or(LevelFilter::INFO);
     let lines = tracing_subscriber::fmt()
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -186,7 +186,7 @@
 /// How requests and answers are spelled.
 pub trait Dialect: Send + Sync + 'static {
     /// The caller's key.
-    fn key<'h>(&self, headers: &'h HeaderMap) -> Option<&'h str>;
+    fn api_key<'h>(&self, headers: &'h HeaderMap) -> Option<&'h str>;
 
     /// What the request's headers say.
     fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
@@ -198,7 +198,7 @@
     fn classify(&self, status: StatusCode, headers: &HeaderMap) -> ResponseClass;
 
     /// The headers of a target's answer that its caller gets.
-    fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Reads a request to the node itself.
     fn node_request(&self, method: &http::Method, uri: &http::Uri) -> NodeRequest;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -278,7 +278,7 @@
         .and_then(|h| h.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
     let route = catalog.route(host, parts.uri.path()).map_err(refused)?;
-    let key = core.platform.dialect().key(&parts.headers);
+    let key = core.platform.dialect().api_key(&parts.headers);
     let caller = catalog.caller(route, key).map_err(refused)?;
     let metadata = core.platform.dialect().request_metadata(&parts.headers);
     let patience = metadata
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -8,7 +8,7 @@
     ConfigErrors, Key, Problems, Reader, SectionKeys, Sections, Shape, defaulted, required,
 };
 
-use crate::config::{Addresses, GatewayConfig, RetryRules};
+use crate::config::{Addresses, GatewayConfig, RetryBudgetConfig};
 
 const MILLI: Duration = Duration::from_millis(1);
 const HOUR: Duration = Duration::from_secs(3_600);
@@ -159,7 +159,7 @@
     },
     /// It has mistakes.
     #[error(transparent)]
-    Wrong(#[from] ConfigErrors),
+    Invalid(#[from] ConfigErrors),
 }
 
 /// A node's settings.
@@ -241,7 +241,7 @@
             peers: r.address("peers", p).unwrap_or(any),
             seeds: seeds.clone(),
         });
-        let retries = self.read("retries", RETRIES, |r, p| RetryRules {
+        let retries = self.read("retries", RETRIES, |r, p| RetryBudgetConfig {
             window: r.duration("window", p),
             ratio: r.decimal("ratio", p),
             slack: r.decimal("slack", p),
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -271,7 +271,7 @@
             .core
             .platform
             .dialect()
-            .caller_headers(&started.response.headers);
+            .response_headers(&started.response.headers);
         if status != StatusCode::OK {
             return self.forward_whole(started, status, headers).await;
         }
--- a/crates/gateway/tests/story.rs
+++ b/crates/gateway/tests/log_report.rs
@@ -22,7 +22,7 @@
 
 #[gtest]
 fn a_request_is_told_with_what_happened_to_its_replica() {
-    let told = reader().tell(&Subject::Request("q1".to_owned()));
+    let told = reader().report(&Subject::Request("q1".to_owned()));
     expect_that!(told.len(), eq(4));
     expect_that!(told[0], starts_with("21:06:02.955 node-b attempt after=4"));
     expect_that!(told[1], starts_with("21:06:03.005 node-a replica-lost"));
@@ -33,12 +33,12 @@
 
 #[gtest]
 fn a_host_is_told_by_name_and_among_the_silent() {
-    let told = reader().tell(&Subject::Host("h-9".to_owned()));
+    let told = reader().report(&Subject::Host("h-9".to_owned()));
     expect_that!(told[0], contains_substring("replica-lost"));
 }
 
 #[gtest]
 fn an_unknown_request_says_which_logs_were_read() {
-    let told = reader().tell(&Subject::Request("q9".to_owned()));
+    let told = reader().report(&Subject::Request("q9".to_owned()));
     expect_that!(told[0], contains_substring("Logs read: node-a, node-b"));
 }
