--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -10,7 +10,7 @@
 use smallvec::SmallVec;
 use smol_str::SmolStr;
 
-use crate::call::CallHead;
+use crate::call::RequestMetadata;
 
 /// A point in a source's history.
 pub type Cursor = u64;
@@ -52,7 +52,7 @@
 
 /// An accepted configuration, with the text that it was read from.
 #[derive(Clone, Debug)]
-pub struct Accepted {
+pub struct AcceptedConfig {
     /// What it says.
     pub catalog: Catalog,
     /// The platform's own text, which nodes tell each other.
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug)]
 pub enum OperatorChange {
     /// A configuration was accepted.
-    Configuration(Accepted),
+    Configuration(AcceptedConfig),
     /// A failure domain was evacuated or taken back.
     Evacuation(EvacuationChange),
 }
@@ -138,7 +138,7 @@
 
 value! {
     /// What one attempt adds to a caller's headers.
-    pub struct AttemptHead {
+    pub struct AttemptMetadata {
         /// The host that must run it; another one at its address refuses.
         pub host: HostId,
         /// The time left for it.
@@ -154,7 +154,7 @@
 
 value! { copy
     /// What an answer's head says beside its status.
-    pub enum AnswerMeaning {
+    pub enum ResponseClass {
         /// The host answered the request.
         Answered,
         /// The host did not run it and never will.
@@ -162,13 +162,13 @@
         /// Another host has this address; it did not run the request.
         WrongHost,
         /// It claims success but lacks what every answer of a host has.
-        Unproven,
+        Unverified,
     }
 }
 
 value! {
     /// A request to a node itself.
-    pub enum SideRequest {
+    pub enum NodeRequest {
         /// Whether the node takes requests.
         Ready,
         /// Which addresses a caller in this failure domain should use.
@@ -186,22 +186,22 @@
 /// How requests and answers are spelled.
 pub trait Dialect: Send + Sync + 'static {
     /// The caller's key.
-    fn key<'h>(&self, headers: &'h HeaderMap) -> Option<&'h str>;
+    fn api_key<'h>(&self, headers: &'h HeaderMap) -> Option<&'h str>;
 
     /// What the request's headers say.
-    fn call_head(&self, headers: &HeaderMap) -> CallHead;
+    fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
     /// The headers that a target gets.
-    fn target_headers(&self, caller: &HeaderMap, attempt: &AttemptHead) -> HeaderMap;
+    fn target_headers(&self, caller: &HeaderMap, attempt: &AttemptMetadata) -> HeaderMap;
 
     /// What an answer's head means.
-    fn meaning(&self, status: StatusCode, headers: &HeaderMap) -> AnswerMeaning;
+    fn classify(&self, status: StatusCode, headers: &HeaderMap) -> ResponseClass;
 
     /// The headers of a target's answer that its caller gets.
-    fn caller_headers(&self, headers: &HeaderMap) -> HeaderMap;
+    fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
     /// Reads a request to the node itself.
-    fn side_request(&self, method: &http::Method, uri: &http::Uri) -> SideRequest;
+    fn node_request(&self, method: &http::Method, uri: &http::Uri) -> NodeRequest;
 
     /// The addresses for callers, who may keep them for `ttl`.
     fn addresses(&self, addresses: &[SmolStr], ttl: Duration) -> Bytes;
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -20,7 +20,7 @@
 use crate::events::EventSplitter;
 use crate::heads::{Head, InProgress};
 use crate::metrics::RepeatReason;
-use crate::ports::{AnswerMeaning, Dialect, Platform};
+use crate::ports::{Dialect, Platform, ResponseClass};
 
 /// Pieces that wait for a slow caller before its stream stops reading from the host.
 const PIECES_AHEAD: usize = 64;
@@ -98,7 +98,7 @@
 ) -> Result<Response<AnswerBody>, Refusal> {
     let service = pick_service(core, call)?;
     core.count_request(&service);
-    let model = call.head.model.clone().unwrap_or_default();
+    let model = call.metadata.model.clone().unwrap_or_default();
     let mut run = Run {
         core: Arc::clone(core),
         call: Arc::clone(call),
@@ -195,7 +195,7 @@
             .events
             .last_id()
             .cloned()
-            .or_else(|| self.call.head.resume_after.clone());
+            .or_else(|| self.call.metadata.resume_after.clone());
         let urgency = Some(self.call.urgency().min(9));
         let req = target_request(&*self.core, &self.call, &head.host, urgency, resume);
         let sent = tokio::select! {
@@ -219,17 +219,17 @@
             .core
             .platform
             .dialect()
-            .meaning(response.status, &response.headers)
+            .classify(response.status, &response.headers)
         {
-            AnswerMeaning::NotRun | AnswerMeaning::WrongHost => {
+            ResponseClass::NotRun | ResponseClass::WrongHost => {
                 self.log_attempt(&head, "not-run", response.status.as_str());
                 Err(self.rejected(&mut slot))
             }
-            AnswerMeaning::Unproven => {
+            ResponseClass::Unverified => {
                 self.log_attempt(&head, "unknown", "answer without proof");
                 Err(self.failed(&mut slot))
             }
-            AnswerMeaning::Answered if response.status.is_server_error() => {
+            ResponseClass::Answered if response.status.is_server_error() => {
                 self.log_attempt(&head, "failed", response.status.as_str());
                 let retries = self.may_run_again();
                 let failed = self.failed(&mut slot);
@@ -239,7 +239,7 @@
                     Ok(StartedResponse { slot, response })
                 }
             }
-            AnswerMeaning::Answered => Ok(StartedResponse { slot, response }),
+            ResponseClass::Answered => Ok(StartedResponse { slot, response }),
         }
     }
 
@@ -271,7 +271,7 @@
             .core
             .platform
             .dialect()
-            .caller_headers(&started.response.headers);
+            .response_headers(&started.response.headers);
         if status != StatusCode::OK {
             return self.forward_whole(started, status, headers).await;
         }
@@ -398,7 +398,7 @@
     /// Logs that the stream is cut off: the caller sees its channel end without the last event.
     fn cut(&self, why: &str) {
         info!(
-            event = "request", request = %self.call.head.id, outcome = "cut", why,
+            event = "request", request = %self.call.metadata.id, outcome = "cut", why,
             runs = self.runs, after = self.events.last_id().map_or("", |id| id.as_str()),
         );
         self.count_end("cut");
@@ -412,7 +412,7 @@
 
     fn log_attempt(&self, head: &Head, outcome: &str, why: &str) {
         info!(
-            event = "attempt", request = %self.call.head.id, host = %head.host,
+            event = "attempt", request = %self.call.metadata.id, host = %head.host,
             replica = %head.replica, epoch = head.epoch, outcome, why,
             after = self.events.last_id().map_or("", |id| id.as_str()),
         );
