--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -141,7 +141,7 @@
 async fn fetch<P: Platform>(core: &Core<P>, version: ConfigVersion, node: &NodeId) {
     let Some(peer) = core.peer() else { return };
     // Whole: former texts aren't kept, so that nobody could send a difference.
-    let fetched = peer.config_of(node, None, FETCH_TIMEOUT).await;
+    let fetched = peer.fetch_config(node, None, FETCH_TIMEOUT).await;
     let read = match fetched {
         Ok(text) => core
             .platform
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -139,7 +139,7 @@
 }
 
 impl<P: Platform> PeerHandler for Peers<P> {
-    fn updated(&self, updates: Vec<Update>) {
+    fn on_updates(&self, updates: Vec<Update>) {
         for update in updates {
             self.take(update);
         }
--- a/crates/gateway/src/scheduler_client.rs
+++ b/crates/gateway/src/scheduler_client.rs
@@ -155,7 +155,7 @@
         return Some(scheduler::answer(Arc::clone(core), req).await);
     }
     let peer = core.peer()?;
-    peer.schedule_at(node, req, timeout).await.ok()
+    peer.call_scheduler(node, req, timeout).await.ok()
 }
 
 /// The outcome of asking for a slot.
--- a/crates/gateway/src/snapshot_relay.rs
+++ b/crates/gateway/src/snapshot_relay.rs
@@ -363,7 +363,7 @@
     wait: Duration,
 ) -> Result<ListCopy<C>, RelayError> {
     let peer = core.peer().ok_or(RelayError::None)?;
-    let answered = peer.list_of(node, C::LIST, since, wait, RPC_SLACK).await;
+    let answered = peer.fetch_list(node, C::LIST, since, wait, RPC_SLACK).await;
     let reply = answered.map_err(|e| RelayError::NoAnswer(e.to_string()))?;
     let now = Instant::now();
     if reply.version == 0 {
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -176,7 +176,7 @@
             version: head.epoch,
             record: names.join(",").into_bytes(),
         };
-        peer.publish_for(Item::Group(update), LOSS_REPORT_TTL);
+        peer.publish_with_ttl(Item::Group(update), LOSS_REPORT_TTL);
     }
     let lost = LostReplica {
         replica: head.replica.clone(),
--- a/crates/node/src/backend/mod.rs
+++ b/crates/node/src/backend/mod.rs
@@ -63,7 +63,7 @@
                 let body = body.clone();
                 let node = node.clone();
                 self.runtime
-                    .spawn(async move { peer.timeline_of(&node, body, TIMELINE_TIMEOUT).await })
+                    .spawn(async move { peer.fetch_timeline(&node, body, TIMELINE_TIMEOUT).await })
             })
             .collect();
         let mut answers = vec![self.core.journal.query(query)];
--- a/crates/node/src/loops/quota.rs
+++ b/crates/node/src/loops/quota.rs
@@ -106,7 +106,7 @@
         let peer = self.peer.clone();
         self.runtime.spawn(async move {
             // Without an answer the fallback part holds; the next round asks again.
-            let Ok(reply) = peer.quota_of(&issuer, req, ASK_TIMEOUT).await else {
+            let Ok(reply) = peer.request_quota(&issuer, req, ASK_TIMEOUT).await else {
                 return;
             };
             let mut quotas = lock(&core.quotas);
--- a/crates/node/src/loops/reader.rs
+++ b/crates/node/src/loops/reader.rs
@@ -164,7 +164,7 @@
         }
         drop(seen);
         let members: Vec<Member> = nodes.iter().map(|(row, _)| member(row)).collect();
-        self.peer.peers_changed(members);
+        self.peer.set_members(members);
         let (came, went) = lock(&self.core.fleet).set_nodes(nodes);
         for peer in came {
             self.core.journal.note(EventKind::NodeJoined { peer });
--- a/crates/node/src/loops/watcher.rs
+++ b/crates/node/src/loops/watcher.rs
@@ -196,7 +196,7 @@
                 continue;
             }
             let item = Item::Verdict(verdict_item(&finding));
-            self.peer.with(|state| state.publish(item, as_of));
+            self.peer.with_state(|state| state.publish(item, as_of));
             self.published.insert(finding.group.clone(), finding);
         }
         self.peer.confirm(as_of_all.unwrap_or(now));
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -479,7 +479,7 @@
         every(core, "suspects", PULSE_PERIOD, move || {
             let news = lock(&news_core.guard).take_news(Instant::now());
             for (item, life) in news {
-                news_peer.publish_for(item, life);
+                news_peer.publish_with_ttl(item, life);
             }
         }),
         every(core, "load", LOAD_PERIOD, move || {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -160,7 +160,7 @@
         let core = self.core.clone();
         self.runtime.spawn(async move {
             let base = core.config.text();
-            match node.config_of(&from, base.as_ref(), FETCH_TIMEOUT).await {
+            match node.fetch_config(&from, base.as_ref(), FETCH_TIMEOUT).await {
                 Ok(text) => apply_config(&core, &node, &text),
                 // The table's reader brings it too, and the announcement comes
                 // again from other nodes that have it in force.
@@ -171,7 +171,7 @@
 }
 
 impl PeerHandler for Peers {
-    fn updated(&self, updates: Vec<Update>) {
+    fn on_updates(&self, updates: Vec<Update>) {
         for update in updates {
             self.take(update);
         }
@@ -181,7 +181,7 @@
         self.core.config.text()
     }
 
-    fn former_config(&self, version: ConfigVersion) -> Option<ConfigText> {
+    fn config_at_version(&self, version: ConfigVersion) -> Option<ConfigText> {
         self.core.config.former(version)
     }
 
--- a/crates/peer/examples/capacity/transport.rs
+++ b/crates/peer/examples/capacity/transport.rs
@@ -44,7 +44,7 @@
     let mut bases: Vec<ConfigText> = Vec::new();
     for running in cluster.nodes.values() {
         let from = "node-0".into();
-        let first = running.node.config_of(&from, None, LIMIT);
+        let first = running.node.fetch_config(&from, None, LIMIT);
         let own = running.handler.config();
         let first = own.map_or_else(|| cluster.runtime.block_on(first), Ok);
         bases.push(first.expect("the first text"));
@@ -88,7 +88,7 @@
         return false;
     }
     let from = "node-0".into();
-    let text = running.node.config_of(&from, Some(base), LIMIT);
+    let text = running.node.fetch_config(&from, Some(base), LIMIT);
     *base = cluster.runtime.block_on(text).expect("the text");
     true
 }
@@ -103,7 +103,7 @@
             from: "node-0".into(),
             ..QuotaRequest::default()
         };
-        let quota = here.quota_of(&other, req, LIMIT);
+        let quota = here.request_quota(&other, req, LIMIT);
         cluster.runtime.block_on(quota).expect("the node answers");
     };
     one();
--- a/crates/peer/src/calls.rs
+++ b/crates/peer/src/calls.rs
@@ -24,7 +24,7 @@
         let Some(current) = self.handler.config() else {
             return Ok(FetchConfigReply::default());
         };
-        let base = self.handler.former_config(req.have_version);
+        let base = self.handler.config_at_version(req.have_version);
         let base = base.filter(|base| base.checksum == req.have_checksum);
         Ok(reply(current, base.as_ref()))
     }
--- a/crates/peer/src/dissemination/membership.rs
+++ b/crates/peer/src/dissemination/membership.rs
@@ -60,7 +60,7 @@
 impl Dissemination {
     /// Takes the list of members as read from the table. Nodes that are learned of
     /// from their peers take part as well.
-    pub fn peers_changed(&mut self, members: impl IntoIterator<Item = Member>, now: Instant) {
+    pub fn set_members(&mut self, members: impl IntoIterator<Item = Member>, now: Instant) {
         let mut listed = BTreeMap::new();
         for member in members {
             if member.id == self.cfg.me.id {
--- a/crates/peer/src/dissemination/mod.rs
+++ b/crates/peer/src/dissemination/mod.rs
@@ -253,7 +253,7 @@
     }
 
     /// Publishes an item that every node drops `ttl` after `now`.
-    pub fn publish_for(&mut self, item: Item, ttl: Duration, now: Instant) {
+    pub fn publish_with_ttl(&mut self, item: Item, ttl: Duration, now: Instant) {
         self.put(item, Some(ttl), now);
     }
 
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -50,7 +50,7 @@
 /// No method but [`PeerHandler::list`] and [`PeerHandler::schedule`] may wait.
 pub trait PeerHandler: Send + Sync + 'static {
     /// Takes what this node learned, in the order in which it did.
-    fn updated(&self, updates: Vec<Update>);
+    fn on_updates(&self, updates: Vec<Update>);
 
     /// The configuration in force here, where this node has one to tell.
     fn config(&self) -> Option<ConfigText> {
@@ -58,7 +58,7 @@
     }
 
     /// A former configuration, when it is still at hand, so that a difference can be made.
-    fn former_config(&self, _version: u64) -> Option<ConfigText> {
+    fn config_at_version(&self, _version: u64) -> Option<ConfigText> {
         None
     }
 
@@ -190,7 +190,7 @@
     }
 
     /// Reads the state, or publishes and changes members. Must be quick.
-    pub fn with<T>(&self, use_state: impl FnOnce(&mut Dissemination) -> T) -> T {
+    pub fn with_state<T>(&self, use_state: impl FnOnce(&mut Dissemination) -> T) -> T {
         use_state(&mut self.inner.state())
     }
 
@@ -200,8 +200,10 @@
     }
 
     /// Publishes an item that every node drops after `ttl`.
-    pub fn publish_for(&self, item: Item, ttl: Duration) {
-        self.inner.state().publish_for(item, ttl, Instant::now());
+    pub fn publish_with_ttl(&self, item: Item, ttl: Duration) {
+        self.inner
+            .state()
+            .publish_with_ttl(item, ttl, Instant::now());
     }
 
     /// Withdraws an item.
@@ -215,15 +217,15 @@
     }
 
     /// Takes the list of members as read from the table.
-    pub fn peers_changed(&self, members: impl IntoIterator<Item = Member>) {
-        self.inner.state().peers_changed(members, Instant::now());
+    pub fn set_members(&self, members: impl IntoIterator<Item = Member>) {
+        self.inner.state().set_members(members, Instant::now());
     }
 
     /// The events of `node` that `query` selects.
     ///
     /// # Errors
     /// When the node can't be reached, is too slow or refuses.
-    pub async fn timeline_of(
+    pub async fn fetch_timeline(
         &self,
         node: &NodeId,
         query: Vec<u8>,
@@ -239,7 +241,7 @@
     ///
     /// # Errors
     /// When the node can't be reached, is too slow or refuses.
-    pub async fn quota_of(
+    pub async fn request_quota(
         &self,
         node: &NodeId,
         req: QuotaRequest,
@@ -252,7 +254,7 @@
     ///
     /// # Errors
     /// When the node can't be reached, is too slow or refuses.
-    pub async fn list_of(
+    pub async fn fetch_list(
         &self,
         node: &NodeId,
         list: &str,
@@ -273,7 +275,7 @@
     ///
     /// # Errors
     /// When the node can't be reached, is too slow or refuses.
-    pub async fn schedule_at(
+    pub async fn call_scheduler(
         &self,
         node: &NodeId,
         req: ScheduleRequest,
@@ -287,23 +289,23 @@
     ///
     /// # Errors
     /// When the node can't be reached, has none, or its text does not match its checksum.
-    pub async fn config_of(
+    pub async fn fetch_config(
         &self,
         node: &NodeId,
         base: Option<&ConfigText>,
         timeout: Duration,
     ) -> Result<ConfigText, PeerError> {
-        let restored = self.fetch_config(node, base, timeout).await;
+        let restored = self.fetch_config_once(node, base, timeout).await;
         match restored {
             // The node's idea of our version is not ours; the whole text settles it.
             Err(PeerError::Checksum) if base.is_some() => {
-                self.fetch_config(node, None, timeout).await
+                self.fetch_config_once(node, None, timeout).await
             }
             other => other,
         }
     }
 
-    async fn fetch_config(
+    async fn fetch_config_once(
         &self,
         node: &NodeId,
         base: Option<&ConfigText>,
@@ -519,7 +521,7 @@
 async fn deliver<H: PeerHandler>(handler: Arc<H>, mut waiting: mpsc::Receiver<Vec<Update>>) {
     while let Some(updates) = waiting.recv().await {
         if !updates.is_empty() {
-            handler.updated(updates);
+            handler.on_updates(updates);
         }
     }
 }
--- a/crates/peer/tests/dissemination.rs
+++ b/crates/peer/tests/dissemination.rs
@@ -59,7 +59,7 @@
     });
     let now = net.now;
     net.node("node-0")
-        .publish_for(leaving.clone(), Duration::from_secs(5), now);
+        .publish_with_ttl(leaving.clone(), Duration::from_secs(5), now);
     net.publish("node-0", verdict("replies/0", true));
     net.run(Duration::from_secs(2));
     expect_that!(net.all_hold("node-0", &leaving), eq(true));
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -131,7 +131,7 @@
     let cluster = Cluster::start(2);
     let here = cluster.node("node-0");
     let other = NodeId::from("node-1");
-    let events = here.timeline_of(&other, b"since=3".to_vec(), LIMIT);
+    let events = here.fetch_timeline(&other, b"since=3".to_vec(), LIMIT);
     let events = cluster.runtime.block_on(events).expect("it answers");
     expect_that!(events, eq(b"events for since=3"));
 
@@ -146,22 +146,24 @@
             ..Demand::default()
         }],
     };
-    let quota = cluster.runtime.block_on(here.quota_of(&other, req, LIMIT));
+    let quota = cluster
+        .runtime
+        .block_on(here.request_quota(&other, req, LIMIT));
     let grants = quota.expect("it answers").grants;
     expect_that!(grants.len(), eq(1));
     expect_that!(grants[0].slots, eq(5));
 
     let stranger = NodeId::from("nobody");
-    let nobody = here.timeline_of(&stranger, Vec::new(), LIMIT);
+    let nobody = here.fetch_timeline(&stranger, Vec::new(), LIMIT);
     let nobody = cluster.runtime.block_on(nobody);
     expect_that!(nobody, err(pat!(PeerError::NoAddress(_))));
 
-    let huge = here.timeline_of(&other, vec![0; 1024 * 1024], LIMIT);
+    let huge = here.fetch_timeline(&other, vec![0; 1024 * 1024], LIMIT);
     let huge = cluster.runtime.block_on(huge);
     expect_that!(huge, err(pat!(PeerError::Refused(_))));
 
     cluster.nodes["node-1"].refusals.set(["node-0".into()]);
-    let refused = here.timeline_of(&other, Vec::new(), LIMIT);
+    let refused = here.fetch_timeline(&other, Vec::new(), LIMIT);
     let refused = cluster.runtime.block_on(refused);
     expect_that!(refused, err(pat!(PeerError::Unreachable(_))));
 }
@@ -173,7 +175,7 @@
     let other = NodeId::from("node-1");
     let none = cluster
         .runtime
-        .block_on(here.config_of(&other, None, LIMIT));
+        .block_on(here.fetch_config(&other, None, LIMIT));
     expect_that!(none, err(pat!(PeerError::NoConfig)));
 
     let long: String = (0..2000).map(|i| format!("key-{i} = väl\n")).collect();
@@ -181,7 +183,7 @@
     serving.put_text(1, &long);
     let whole = cluster
         .runtime
-        .block_on(here.config_of(&other, None, LIMIT))
+        .block_on(here.fetch_config(&other, None, LIMIT))
         .expect("it answers");
     expect_that!(whole.text, eq(&long));
     expect_that!(whole.author, eq("ada"));
@@ -191,7 +193,7 @@
     let before = cluster.node("node-1").traffic().sent;
     let changed = cluster
         .runtime
-        .block_on(here.config_of(&other, Some(&whole), LIMIT))
+        .block_on(here.fetch_config(&other, Some(&whole), LIMIT))
         .expect("it answers");
     let after = cluster.node("node-1").traffic().sent;
     expect_that!(changed.text, eq(&next));
@@ -203,7 +205,7 @@
     serving.put_text(3, &long);
     let settled = cluster
         .runtime
-        .block_on(here.config_of(&other, Some(&mistaken), LIMIT))
+        .block_on(here.fetch_config(&other, Some(&mistaken), LIMIT))
         .expect("it answers");
     expect_that!(settled.text, eq(&long));
 }
@@ -227,11 +229,13 @@
     let took = wait(LIMIT, || cluster.all_hold("node-0", &item));
     println!("known at 8 nodes after {took:?}");
     expect_that!(took, some(le(Duration::from_secs(3))));
-    let text = cluster.runtime.block_on(cluster.node("node-7").config_of(
-        &"node-0".into(),
-        None,
-        LIMIT,
-    ));
+    let text = cluster
+        .runtime
+        .block_on(
+            cluster
+                .node("node-7")
+                .fetch_config(&"node-0".into(), None, LIMIT),
+        );
     expect_that!(text.map(|t| t.version).ok(), some(eq(1)));
 }
 
@@ -251,7 +255,7 @@
             from: "node-0".into(),
             ..ScheduleRequest::default()
         };
-        let asked = here.schedule_at(&other, req, Duration::from_millis(timeout));
+        let asked = here.call_scheduler(&other, req, Duration::from_millis(timeout));
         cluster.runtime.block_on(asked)
     };
     expect_that!(ask(0, 5_000), ok(anything()));
--- a/crates/peer/tests/reordering.rs
+++ b/crates/peer/tests/reordering.rs
@@ -40,7 +40,7 @@
         timing: Timing::default(),
     };
     let mut node = Dissemination::new(cfg, now);
-    node.peers_changed(["a", "b"].map(|name| member(name, "domain-0")), now);
+    node.set_members(["a", "b"].map(|name| member(name, "domain-0")), now);
     node.publish(status(&member(name, "domain-0")), now);
     node
 }
--- a/crates/peer/tests/support/cluster.rs
+++ b/crates/peer/tests/support/cluster.rs
@@ -35,7 +35,7 @@
 }
 
 impl PeerHandler for Recorder {
-    fn updated(&self, updates: Vec<Update>) {
+    fn on_updates(&self, updates: Vec<Update>) {
         let now = Instant::now();
         let mut kept = self.updates.lock().unwrap_or_else(PoisonError::into_inner);
         kept.extend(updates.into_iter().map(|update| (now, update)));
@@ -46,7 +46,7 @@
         texts.values().next_back().cloned()
     }
 
-    fn former_config(&self, version: u64) -> Option<ConfigText> {
+    fn config_at_version(&self, version: u64) -> Option<ConfigText> {
         let texts = self.texts.lock().unwrap_or_else(PoisonError::into_inner);
         texts.get(&version).cloned()
     }
@@ -160,7 +160,7 @@
     pub(crate) fn introduce(&self) {
         let list: Vec<Member> = self.nodes.values().map(|n| n.member.clone()).collect();
         for running in self.nodes.values() {
-            running.node.peers_changed(list.iter().cloned());
+            running.node.set_members(list.iter().cloned());
         }
     }
 
@@ -171,7 +171,7 @@
     /// Whether `node` holds `item` as published by `origin`.
     pub(crate) fn holds(&self, node: &str, origin: &str, item: &Item) -> bool {
         self.node(node)
-            .with(|state| state.items_of(origin).any(|(held, _, _)| held == item))
+            .with_state(|state| state.items_of(origin).any(|(held, _, _)| held == item))
     }
 
     pub(crate) fn all_hold(&self, origin: &str, item: &Item) -> bool {
--- a/crates/peer/tests/support/net.rs
+++ b/crates/peer/tests/support/net.rs
@@ -139,7 +139,7 @@
             timing: self.timing.clone(),
         };
         let mut node = Dissemination::new(cfg, self.now);
-        node.peers_changed(list.iter().cloned(), self.now);
+        node.set_members(list.iter().cloned(), self.now);
         node.publish(status(member), self.now);
         self.nodes.insert(member.id.clone(), node);
         self.learned.insert(member.id.clone(), Vec::new());
