--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -6,8 +6,8 @@
 use eelgrassmill_base::{ConfigVersion, HostId, Incarnation, NodeId, rendezvous};
 use eelgrassmill_group::{Verdict, Why};
 use eelgrassmill_peer::{
-    Change, ConfigText, Item, ItemKey, PeerHandler, PeerNode, QuotaReply, QuotaRequest, Stamp,
-    Update, Verdict as VerdictItem,
+    Change, ConfigText, HlcTimestamp, Item, ItemKey, PeerHandler, PeerNode, QuotaReply,
+    QuotaRequest, Update, Verdict as VerdictItem,
 };
 use eelgrassmill_timeline::{EventKind, Hlc, Query};
 use smol_str::{SmolStr, format_smolstr};
@@ -191,18 +191,18 @@
         serde_json::to_vec(&answer).unwrap_or_default()
     }
 
-    fn stamp(&self) -> Stamp {
+    fn timestamp(&self) -> HlcTimestamp {
         let hlc = self.core.journal.stamp();
-        Stamp {
-            ms: hlc.wall_ms,
-            count: hlc.counter,
+        HlcTimestamp {
+            wall_ms: hlc.wall_ms,
+            counter: hlc.counter,
         }
     }
 
-    fn observed(&self, stamp: Stamp) {
+    fn on_timestamp(&self, timestamp: HlcTimestamp) {
         self.core.journal.observe(Hlc {
-            wall_ms: stamp.ms,
-            counter: stamp.count,
+            wall_ms: timestamp.wall_ms,
+            counter: timestamp.counter,
         });
     }
 
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -26,7 +26,7 @@
     MAX_GROUP_RECORD, MAX_RECORD, MAX_TEXT, NodeLoad, NodeStatus, Suspect, Update, Usage, Verdict,
 };
 pub use crate::meter::Traffic;
-pub use crate::node::{PeerHandler, PeerNode, PeerNodeConfig, Stamp};
+pub use crate::node::{HlcTimestamp, PeerHandler, PeerNode, PeerNodeConfig};
 pub use crate::overlay::{FAN_OUT, MESH_LIMIT, Overlay};
 pub use crate::refusals::Refusals;
 pub use crate::wire::messages::{
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -85,22 +85,22 @@
     }
 
     /// The stamp that a batch carries, so that events of two nodes can be put in causal order.
-    fn stamp(&self) -> Stamp {
-        Stamp::default()
+    fn timestamp(&self) -> HlcTimestamp {
+        HlcTimestamp::default()
     }
 
     /// Takes notice of the stamp of another node's batch.
-    fn observed(&self, _stamp: Stamp) {}
+    fn on_timestamp(&self, _timestamp: HlcTimestamp) {}
 }
 
 value! { copy
     /// A stamp of a hybrid logical clock; the timeline crate gives it its meaning.
     #[derive(Default)]
-    pub struct Stamp {
+    pub struct HlcTimestamp {
         /// Milliseconds since 1970.
-        pub ms: u64,
+        pub wall_ms: u64,
         /// Counts stamps within one millisecond.
-        pub count: u32,
+        pub counter: u32,
     }
 }
 
@@ -377,21 +377,21 @@
         let mut answer = state.answer(from, now);
         place.send(updates);
         drop(state);
-        self.put_stamp(&mut answer);
+        self.set_timestamp(&mut answer);
         Some(answer)
     }
 
     fn observe(&self, batch: &Batch) {
-        self.handler.observed(Stamp {
-            ms: batch.stamp_ms,
-            count: batch.stamp_count,
+        self.handler.on_timestamp(HlcTimestamp {
+            wall_ms: batch.hlc_wall_ms,
+            counter: batch.hlc_counter,
         });
     }
 
-    fn put_stamp(&self, batch: &mut Batch) {
-        let stamp = self.handler.stamp();
-        batch.stamp_ms = stamp.ms;
-        batch.stamp_count = stamp.count;
+    fn set_timestamp(&self, batch: &mut Batch) {
+        let timestamp = self.handler.timestamp();
+        batch.hlc_wall_ms = timestamp.wall_ms;
+        batch.hlc_counter = timestamp.counter;
     }
 
     /// Takes in the answer to a batch of ours; what it asks for goes with the next flush.
@@ -459,7 +459,7 @@
     }
 
     async fn exchange(&self, node: NodeId, mut batch: Batch) {
-        self.put_stamp(&mut batch);
+        self.set_timestamp(&mut batch);
         let result: Result<Batch, PeerError> = self
             .call(&node, path::EXCHANGE, batch, self.max_transit)
             .await;
--- a/crates/peer/src/wire/messages.rs
+++ b/crates/peer/src/wire/messages.rs
@@ -36,12 +36,12 @@
     /// Whether the limit of a batch cut this one short.
     #[prost(bool, tag = "11")]
     pub more: bool,
-    /// Stamp of the sender's events: milliseconds since 1970.
+    /// HLC timestamp of the sender's events: milliseconds since 1970.
     #[prost(uint64, tag = "12")]
-    pub stamp_ms: u64,
+    pub hlc_wall_ms: u64,
     /// Counts stamps within one millisecond.
     #[prost(uint32, tag = "13")]
-    pub stamp_count: u32,
+    pub hlc_counter: u32,
 }
 
 /// What changed at one origin.
