--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -7,9 +7,9 @@
 
 use eelgrassmill_base::{GroupId, NodeId};
 use eelgrassmill_peer::{
-    Change, ConfigText, DisseminationConfig, GroupLoad, GroupRecord, Item, ItemKey, ListReply,
-    ListRequest, Member, NodeLoad, NodeStatus, PeerError, PeerHandler, PeerNode, PeerNodeConfig,
-    Refusals, ScheduleReply, ScheduleRequest, Timing, Update,
+    BlockedPeers, Change, ConfigText, DisseminationConfig, GroupLoad, GroupRecord, Item, ItemKey,
+    ListReply, ListRequest, Member, NodeLoad, NodeStatus, PeerError, PeerHandler, PeerNode,
+    PeerNodeConfig, ScheduleReply, ScheduleRequest, Timing, Update,
 };
 use smol_str::ToSmolStr;
 use tokio::runtime::Handle;
@@ -198,7 +198,12 @@
     let handler = Arc::new(Peers {
         core: Arc::clone(core),
     });
-    let peer = Arc::new(PeerNode::start(cfg, handler, Refusals::default(), runtime)?);
+    let peer = Arc::new(PeerNode::start(
+        cfg,
+        handler,
+        BlockedPeers::default(),
+        runtime,
+    )?);
     core.set_peer(Arc::clone(&peer));
     publish_status(core);
     Ok(peer)
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -9,8 +9,8 @@
 use eelgrassmill_base::{Incarnation, Shutdown};
 use eelgrassmill_group::{LeaseObserver, NodeRow, node_key};
 use eelgrassmill_peer::{
-    DisseminationConfig, Item, Member, NodeLoad, NodeStatus, PeerError, PeerNode, PeerNodeConfig,
-    Refusals, Traffic,
+    BlockedPeers, DisseminationConfig, Item, Member, NodeLoad, NodeStatus, PeerError, PeerNode,
+    PeerNodeConfig, Traffic,
 };
 use eelgrassmill_stores::{
     HttpCaller, HttpHostList, HttpObjectStore, HttpTable, HttpWeightStore, Table,
@@ -98,7 +98,7 @@
 pub struct Node {
     core: Arc<Core>,
     peer: Arc<PeerNode<Peers>>,
-    refusals: Refusals,
+    blocked_peers: BlockedPeers,
     admin: Option<AdminServer>,
     lease: Arc<Mutex<LeaseKeeper>>,
     planner: Arc<Mutex<Planner>>,
@@ -137,8 +137,8 @@
             local(&admin)?,
         );
         let core = Arc::new(Core::new(ident, settings, platform, metrics.clone()));
-        let refusals = Refusals::default();
-        let peer = start_peer(&core, peers, &refusals, &runtime)?;
+        let blocked_peers = BlockedPeers::default();
+        let peer = start_peer(&core, peers, &blocked_peers, &runtime)?;
         let (claims, mut threads) = ClaimStore::start(&core);
         let (pool, probers) = ProbePool::start(&core.control, &core.reports);
         threads.extend(probers);
@@ -175,7 +175,7 @@
         Ok(Node {
             core,
             peer,
-            refusals,
+            blocked_peers,
             admin: Some(admin),
             lease,
             planner,
@@ -209,8 +209,8 @@
     }
 
     /// Peers whose calls are refused both ways, to cut the network in tests.
-    pub fn refusals(&self) -> &Refusals {
-        &self.refusals
+    pub fn blocked_peers(&self) -> &BlockedPeers {
+        &self.blocked_peers
     }
 
     /// Stops gracefully: leaves the addresses, waits until the answers that
@@ -353,7 +353,7 @@
 fn start_peer(
     core: &Arc<Core>,
     listener: TcpListener,
-    refusals: &Refusals,
+    blocked_peers: &BlockedPeers,
     runtime: &Runtime,
 ) -> Result<Arc<PeerNode<Peers>>, NodeError> {
     let ident = &core.ident;
@@ -376,7 +376,7 @@
         listener,
         cfg,
         handler.clone(),
-        refusals.clone(),
+        blocked_peers.clone(),
         runtime.handle(),
     )?;
     let node = Arc::new(node);
--- a/crates/node/tests/util/mod.rs
+++ b/crates/node/tests/util/mod.rs
@@ -160,14 +160,14 @@
             for i in *part {
                 let outside = (0..self.nodes.len()).filter(|n| !part.contains(n));
                 let refused = outside.map(|n| format!("node-{n}").into());
-                self.nodes[*i].refusals().set(refused);
+                self.nodes[*i].blocked_peers().set(refused);
             }
         }
     }
 
     pub fn heal(&self) {
         for node in &self.nodes {
-            node.refusals().set([]);
+            node.blocked_peers().set([]);
         }
     }
 
--- a/crates/peer/src/refusals.rs
+++ b/crates/peer/src/blocked_peers.rs
@@ -1,4 +1,4 @@
-//! Peers whose calls are refused both ways, for tests that cut the network.
+//! Peers whose calls are blocked both ways, for tests that cut the network.
 
 use std::collections::BTreeSet;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -9,20 +9,20 @@
 ///
 /// Nothing in the product fills it: it is for tests.
 #[derive(Clone, Debug, Default)]
-pub struct Refusals {
+pub struct BlockedPeers {
     nodes: Arc<RwLock<BTreeSet<NodeId>>>,
 }
 
-impl Refusals {
+impl BlockedPeers {
     /// Replaces the list.
     pub fn set(&self, nodes: impl IntoIterator<Item = NodeId>) {
-        let mut refused = self.nodes.write().unwrap_or_else(PoisonError::into_inner);
-        *refused = nodes.into_iter().collect();
+        let mut blocked = self.nodes.write().unwrap_or_else(PoisonError::into_inner);
+        *blocked = nodes.into_iter().collect();
     }
 
     /// Whether `node` is on the list.
-    pub fn refuses(&self, node: &str) -> bool {
-        let refused = self.nodes.read().unwrap_or_else(PoisonError::into_inner);
-        refused.contains(node)
+    pub fn contains(&self, node: &str) -> bool {
+        let blocked = self.nodes.read().unwrap_or_else(PoisonError::into_inner);
+        blocked.contains(node)
     }
 }
--- a/crates/peer/src/calls.rs
+++ b/crates/peer/src/calls.rs
@@ -56,7 +56,7 @@
     fn admit(&self, from: &str) -> Result<NodeId, Status> {
         let from =
             name(from.to_string()).ok_or_else(|| Status::invalid_argument("no caller named"))?;
-        if self.refusals.refuses(&from) {
+        if self.blocked_peers.contains(&from) {
             return Err(Status::unavailable("calls are refused by setting"));
         }
         Ok(from)
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -27,7 +27,7 @@
     Refused(String),
     /// Calls to the node are switched off.
     #[error("calls to node {0} are refused by setting")]
-    SwitchedOff(NodeId),
+    Blocked(NodeId),
     /// The node has no configuration.
     #[error("the node has no configuration")]
     NoConfig,
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -3,6 +3,7 @@
 //! [`Dissemination`] is the pure state machine: what is known of whom, and who is
 //! told what next. [`PeerNode`] gives it a clock, a server and connections.
 
+mod blocked_peers;
 mod calls;
 pub mod capacity;
 mod config_text;
@@ -13,9 +14,9 @@
 mod meter;
 mod node;
 mod overlay;
-mod refusals;
 mod wire;
 
+pub use crate::blocked_peers::BlockedPeers;
 pub use crate::config_text::{ConfigText, checksum};
 pub use crate::dissemination::{
     Dissemination, DisseminationConfig, MAX_ORIGINS, Member, Output, Timing,
@@ -28,7 +29,6 @@
 pub use crate::meter::Traffic;
 pub use crate::node::{HlcTimestamp, PeerHandler, PeerNode, PeerNodeConfig};
 pub use crate::overlay::{FAN_OUT, MESH_LIMIT, Overlay};
-pub use crate::refusals::Refusals;
 pub use crate::wire::messages::{
     Batch, Demand, Grant, Item as WireItem, Kind as WireKind, ListReply, ListRequest, OriginUpdate,
     QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, SlotDecision, SlotEvent,
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -12,12 +12,12 @@
 use tokio_stream::StreamExt;
 use tokio_stream::wrappers::TcpListenerStream;
 
+use crate::blocked_peers::BlockedPeers;
 use crate::config_text::{ConfigText, restore};
 use crate::dissemination::{Dissemination, DisseminationConfig, Member};
 use crate::error::PeerError;
 use crate::item::{Item, ItemKey, Update};
 use crate::meter::{Meter, Metered, Traffic};
-use crate::refusals::Refusals;
 use crate::wire::client::Pool;
 use crate::wire::messages::{
     Batch, FetchConfigReply, FetchConfigRequest, ListReply, ListRequest, QuotaReply, QuotaRequest,
@@ -128,7 +128,7 @@
     pub(crate) me: NodeId,
     state: Mutex<Dissemination>,
     pub(crate) handler: Arc<H>,
-    pub(crate) refusals: Refusals,
+    pub(crate) blocked_peers: BlockedPeers,
     pool: Pool,
     meter: Meter,
     seeds: Vec<SocketAddr>,
@@ -148,11 +148,11 @@
     pub fn start(
         cfg: PeerNodeConfig,
         handler: Arc<H>,
-        refusals: Refusals,
+        blocked_peers: BlockedPeers,
         runtime: &Handle,
     ) -> Result<PeerNode<H>, PeerError> {
         let listener = std::net::TcpListener::bind(cfg.listen).map_err(PeerError::Listen)?;
-        PeerNode::start_on(listener, cfg, handler, refusals, runtime)
+        PeerNode::start_on(listener, cfg, handler, blocked_peers, runtime)
     }
 
     /// The same on a port that is listened on already, whose number others may have
@@ -164,14 +164,14 @@
         listener: std::net::TcpListener,
         mut cfg: PeerNodeConfig,
         handler: Arc<H>,
-        refusals: Refusals,
+        blocked_peers: BlockedPeers,
         runtime: &Handle,
     ) -> Result<PeerNode<H>, PeerError> {
         listener.set_nonblocking(true).map_err(PeerError::Listen)?;
         let local = listener.local_addr().map_err(PeerError::Listen)?;
         cfg.dissemination.me.address = local.to_string().into();
         let (unhandled, waiting) = mpsc::channel(MAX_UNHANDLED);
-        let inner = Arc::new(Inner::new(cfg, handler, refusals, unhandled));
+        let inner = Arc::new(Inner::new(cfg, handler, blocked_peers, unhandled));
         let (stop, stopped) = watch::channel(false);
         {
             let _guard = runtime.enter();
@@ -342,7 +342,7 @@
     fn new(
         cfg: PeerNodeConfig,
         handler: Arc<H>,
-        refusals: Refusals,
+        blocked_peers: BlockedPeers,
         unhandled: mpsc::Sender<Vec<Update>>,
     ) -> Inner<H> {
         let meter = Meter::default();
@@ -350,7 +350,7 @@
         Inner {
             me: cfg.dissemination.me.id.clone(),
             handler,
-            refusals,
+            blocked_peers,
             pool: Pool::new(timing.max_transit, meter.clone()),
             meter,
             seeds: cfg.seeds,
@@ -424,8 +424,8 @@
         Req: prost::Message + Default + 'static,
         Res: prost::Message + Default + 'static,
     {
-        if self.refusals.refuses(node) {
-            return Err(PeerError::SwitchedOff(node.clone()));
+        if self.blocked_peers.contains(node) {
+            return Err(PeerError::Blocked(node.clone()));
         }
         let address = self.address(node)?;
         let result = self.pool.call(address, path, req, timeout).await;
@@ -480,7 +480,7 @@
         self.meter.called(result.is_ok());
         if let Ok(answer) = result {
             let from = NodeId::from(answer.from.as_str());
-            if !self.refusals.refuses(&from) {
+            if !self.blocked_peers.contains(&from) {
                 self.receive_answer(&from, answer);
             }
         }
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -63,7 +63,7 @@
     expect_that!(took, some(anything()));
 
     let others: Vec<NodeId> = vec!["node-0".into(), "node-1".into()];
-    cluster.nodes["node-2"].refusals.set(others);
+    cluster.nodes["node-2"].blocked_peers.set(others);
     let second = missing("replies/1");
     cluster.node("node-1").publish(second.clone());
     let reached = wait(Duration::from_millis(1500), || {
@@ -71,7 +71,7 @@
     });
     expect_that!(reached, none());
     for running in cluster.nodes.values() {
-        running.refusals.set([]);
+        running.blocked_peers.set([]);
     }
     let took = wait(LIMIT, || cluster.all_hold("node-1", &second));
     expect_that!(took, some(anything()));
@@ -162,7 +162,7 @@
     let huge = cluster.runtime.block_on(huge);
     expect_that!(huge, err(pat!(PeerError::Refused(_))));
 
-    cluster.nodes["node-1"].refusals.set(["node-0".into()]);
+    cluster.nodes["node-1"].blocked_peers.set(["node-0".into()]);
     let refused = here.fetch_timeline(&other, Vec::new(), LIMIT);
     let refused = cluster.runtime.block_on(refused);
     expect_that!(refused, err(pat!(PeerError::Unreachable(_))));
--- a/crates/peer/tests/support/cluster.rs
+++ b/crates/peer/tests/support/cluster.rs
@@ -7,8 +7,9 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
-    ConfigText, DisseminationConfig, Grant, Item, Member, PeerHandler, PeerNode, PeerNodeConfig,
-    QuotaReply, QuotaRequest, Refusals, ScheduleReply, ScheduleRequest, Timing, Update, checksum,
+    BlockedPeers, ConfigText, DisseminationConfig, Grant, Item, Member, PeerHandler, PeerNode,
+    PeerNodeConfig, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, Timing, Update,
+    checksum,
 };
 
 use super::net::status;
@@ -81,7 +82,7 @@
 pub(crate) struct Running {
     pub(crate) member: Member,
     pub(crate) handler: Arc<Recorder>,
-    pub(crate) refusals: Refusals,
+    pub(crate) blocked_peers: BlockedPeers,
     pub(crate) node: PeerNode<Recorder>,
 }
 
@@ -137,11 +138,11 @@
             seeds,
         };
         let handler = Arc::new(Recorder::default());
-        let refusals = Refusals::default();
+        let blocked_peers = BlockedPeers::default();
         let node = PeerNode::start(
             cfg,
             Arc::clone(&handler),
-            refusals.clone(),
+            blocked_peers.clone(),
             self.runtime.handle(),
         )
         .expect("the node starts");
@@ -150,7 +151,7 @@
         let running = Running {
             member,
             handler,
-            refusals,
+            blocked_peers,
             node,
         };
         self.nodes.insert(name.into(), running);
@@ -180,8 +181,8 @@
 
     /// Makes `a` and `b` refuse each other, both ways.
     pub(crate) fn cut(&self, a: &str, b: &str) {
-        self.nodes[a].refusals.set([b.into()]);
-        self.nodes[b].refusals.set([a.into()]);
+        self.nodes[a].blocked_peers.set([b.into()]);
+        self.nodes[b].blocked_peers.set([a.into()]);
     }
 }
 
