--- a/crates/node/src/loops/watcher.rs
+++ b/crates/node/src/loops/watcher.rs
@@ -11,7 +11,7 @@
 use smol_str::{SmolStr, format_smolstr};
 
 use super::probe::ProbePool;
-use crate::peers::{Peers, verdict_item};
+use crate::peers::{Peers, health_report};
 use crate::state::core::Core;
 use crate::state::lock::lock;
 use crate::state::wholeness::Finding;
@@ -189,13 +189,13 @@
         for group in dropped {
             self.published.remove(&group);
             lock(&self.core.whole).withdraw(me, &group);
-            self.peer.withdraw(&ItemKey::Verdict(group));
+            self.peer.withdraw(&ItemKey::Health(group));
         }
         for (finding, as_of) in findings {
             if self.published.get(&finding.group) == Some(&finding) {
                 continue;
             }
-            let item = Item::Verdict(verdict_item(&finding));
+            let item = Item::Health(health_report(&finding));
             self.peer.with_state(|state| state.publish(item, as_of));
             self.published.insert(finding.group.clone(), finding);
         }
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -6,8 +6,8 @@
 use eelgrassmill_base::{ConfigVersion, HostId, Incarnation, NodeId, rendezvous};
 use eelgrassmill_group::{Verdict, Why};
 use eelgrassmill_peer::{
-    Change, ConfigText, HlcTimestamp, Item, ItemKey, PeerHandler, PeerNode, QuotaReply,
-    QuotaRequest, Update, Verdict as VerdictItem,
+    Change, ConfigText, HealthReport, HlcTimestamp, Item, ItemKey, PeerHandler, PeerNode,
+    QuotaReply, QuotaRequest, Update,
 };
 use eelgrassmill_timeline::{EventKind, Hlc, Query};
 use smol_str::{SmolStr, format_smolstr};
@@ -84,7 +84,7 @@
 
     fn put(&self, origin: &NodeId, incarnation: Incarnation, item: Item, as_of: Instant) {
         match item {
-            Item::Verdict(item) => {
+            Item::Health(item) => {
                 let now = Instant::now();
                 let mut whole = lock(&self.core.whole);
                 whole.on_finding(origin, incarnation, finding(&item), as_of, now);
@@ -116,7 +116,7 @@
 
     fn removed(&self, origin: &NodeId, key: &ItemKey) {
         match key {
-            ItemKey::Verdict(group) => lock(&self.core.whole).withdraw(origin, group),
+            ItemKey::Health(group) => lock(&self.core.whole).withdraw(origin, group),
             ItemKey::Leaving(host) => self.leaving(host, origin, false),
             _ => {}
         }
@@ -212,16 +212,16 @@
 }
 
 /// A finding as it travels: the code, and in the text the lead, its start and the missing host.
-pub(crate) fn verdict_item(finding: &Finding) -> VerdictItem {
+pub(crate) fn health_report(finding: &Finding) -> HealthReport {
     let (code, host) = match &finding.verdict {
         Verdict::Whole => (code::WHOLE, ""),
         Verdict::Ending => (code::ENDING, ""),
         Verdict::Missing { host, why } => (code_of(*why), host.as_str()),
     };
-    VerdictItem {
+    HealthReport {
         group: finding.group.clone(),
         epoch: finding.epoch,
-        serves: code == code::WHOLE,
+        serving: code == code::WHOLE,
         code,
         reason: format_smolstr!("{} {} {host}", finding.lead, finding.lead_start),
     }
@@ -236,7 +236,7 @@
     }
 }
 
-fn finding(item: &VerdictItem) -> Finding {
+fn finding(item: &HealthReport) -> Finding {
     let mut words = item.reason.split(' ');
     let lead = words.next().unwrap_or_default();
     let lead_start = words.next().and_then(|w| w.parse().ok());
@@ -246,7 +246,7 @@
         why,
     };
     let verdict = match item.code {
-        code::WHOLE if item.serves => Verdict::Whole,
+        code::WHOLE if item.serving => Verdict::Whole,
         code::RESTARTED => missing(Why::Restarted),
         code::ELSEWHERE => missing(Why::Elsewhere),
         code::NOT_READY => missing(Why::NotReady),
--- a/crates/peer/examples/capacity/spread.rs
+++ b/crates/peer/examples/capacity/spread.rs
@@ -6,7 +6,7 @@
 use eelgrassmill_base::{NodeId, rendezvous, stable_hash};
 use eelgrassmill_peer::capacity::Inputs;
 use eelgrassmill_peer::{
-    ConfigAnnouncement, GroupLoad, Item, MESH_LIMIT, Member, NodeLoad, Verdict,
+    ConfigAnnouncement, GroupLoad, HealthReport, Item, MESH_LIMIT, Member, NodeLoad,
 };
 
 use crate::counting::held_by;
@@ -49,7 +49,7 @@
         };
         for (watcher, groups) in fleet.watched.clone() {
             for group in groups {
-                fleet.net.publish(&watcher, verdict(&group, true));
+                fleet.net.publish(&watcher, health(&group, true));
             }
         }
         fleet
@@ -179,12 +179,12 @@
     best.map(|m| m.id.clone()).unwrap_or_default()
 }
 
-pub(crate) fn verdict(group: &str, serves: bool) -> Item {
-    Item::Verdict(Verdict {
+pub(crate) fn health(group: &str, serving: bool) -> Item {
+    Item::Health(HealthReport {
         group: group.into(),
         epoch: 3,
-        serves,
-        code: u32::from(!serves),
+        serving,
+        code: u32::from(!serving),
         reason: "engine-123".into(),
     })
 }
@@ -251,7 +251,7 @@
         old as f64 / ages.len() as f64 * 100.0,
     );
     let origin = fleet.list[0].id.clone();
-    let missing = verdict("drafting/0", false);
+    let missing = health("drafting/0", false);
     let version = Item::Config(ConfigAnnouncement {
         version: 5,
         checksum: "5f".repeat(32).into(),
--- a/crates/peer/src/dissemination/send.rs
+++ b/crates/peer/src/dissemination/send.rs
@@ -207,7 +207,7 @@
     pub(super) fn is_watcher(&self, origin: &NodeId) -> bool {
         self.records
             .get(origin)
-            .is_some_and(|record| record.keys().any(|key| matches!(key, ItemKey::Verdict(_))))
+            .is_some_and(|record| record.keys().any(|key| matches!(key, ItemKey::Health(_))))
     }
 
     /// Whether too many confirmations of `origin` were missed.
--- a/crates/peer/src/item.rs
+++ b/crates/peer/src/item.rs
@@ -14,7 +14,7 @@
         /// A configuration that was accepted.
         Config(ConfigAnnouncement),
         /// What a watcher found of a group.
-        Verdict(Verdict),
+        Health(HealthReport),
         /// What the node is.
         Status(NodeStatus),
         /// What changes often at the node.
@@ -40,13 +40,13 @@
     }
 
     /// What a watcher found of a group.
-    pub struct Verdict {
+    pub struct HealthReport {
         /// The group.
         pub group: GroupId,
         /// The epoch it was found in.
         pub epoch: Epoch,
         /// Whether the group may serve.
-        pub serves: bool,
+        pub serving: bool,
         /// The watcher's code for the reason; its meaning is the group policy's.
         pub code: u32,
         /// The reason in words, at most [`MAX_TEXT`] bytes.
@@ -173,7 +173,7 @@
     /// The configuration that it announces.
     Config,
     /// Its verdict on a group.
-    Verdict(GroupId),
+    Health(GroupId),
     /// Its status.
     Status,
     /// Its load.
@@ -228,7 +228,7 @@
     pub fn key(&self) -> ItemKey {
         match self {
             Item::Config(_) => ItemKey::Config,
-            Item::Verdict(v) => ItemKey::Verdict(v.group.clone()),
+            Item::Health(v) => ItemKey::Health(v.group.clone()),
             Item::Status(_) => ItemKey::Status,
             Item::Load(_) => ItemKey::Load,
             Item::Leaving(l) => ItemKey::Leaving(l.host.clone()),
@@ -268,9 +268,9 @@
     pub(crate) fn pace(&self) -> Pace {
         match self {
             Item::Config(_) | Item::Leaving(_) | Item::Suspect(_) | Item::Group(_) => Pace::Urgent,
-            Item::Verdict(v) if !v.serves => Pace::Urgent,
+            Item::Health(v) if !v.serving => Pace::Urgent,
             Item::Status(s) if s.leaving => Pace::Urgent,
-            Item::Verdict(_) | Item::Status(_) => Pace::Normal,
+            Item::Health(_) | Item::Status(_) => Pace::Normal,
             Item::Load(_) | Item::GroupLoad(_) | Item::Usage(_) => Pace::Slow,
         }
     }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -23,8 +23,8 @@
 };
 pub use crate::error::PeerError;
 pub use crate::item::{
-    Change, ConfigAnnouncement, GroupLoad, GroupRecord, Item, ItemKey, LeavingTarget,
-    MAX_GROUP_RECORD, MAX_RECORD, MAX_TEXT, NodeLoad, NodeStatus, Suspect, Update, Usage, Verdict,
+    Change, ConfigAnnouncement, GroupLoad, GroupRecord, HealthReport, Item, ItemKey, LeavingTarget,
+    MAX_GROUP_RECORD, MAX_RECORD, MAX_TEXT, NodeLoad, NodeStatus, Suspect, Update, Usage,
 };
 pub use crate::meter::Traffic;
 pub use crate::node::{HlcTimestamp, PeerHandler, PeerNode, PeerNodeConfig};
--- a/crates/peer/src/wire/convert.rs
+++ b/crates/peer/src/wire/convert.rs
@@ -3,8 +3,8 @@
 use eelgrassmill_base::Incarnation;
 
 use crate::item::{
-    ConfigAnnouncement, GroupLoad, GroupRecord, Item, ItemKey, LeavingTarget, MAX_GROUP_RECORD,
-    MAX_RECORD, MAX_TEXT, NodeLoad, NodeStatus, Suspect, Usage, Verdict,
+    ConfigAnnouncement, GroupLoad, GroupRecord, HealthReport, Item, ItemKey, LeavingTarget,
+    MAX_GROUP_RECORD, MAX_RECORD, MAX_TEXT, NodeLoad, NodeStatus, Suspect, Usage,
 };
 use crate::wire::messages::{self as wire, Kind};
 
@@ -24,10 +24,10 @@
             version: c.version,
             checksum: c.checksum.to_string(),
         }),
-        Item::Verdict(v) => Kind::Verdict(wire::Verdict {
+        Item::Health(v) => Kind::Health(wire::HealthReport {
             group: v.group.to_string(),
             epoch: v.epoch,
-            serves: v.serves,
+            serving: v.serving,
             code: v.code,
             reason: v.reason.to_string(),
         }),
@@ -79,7 +79,7 @@
 pub(crate) fn to_removed(key: &ItemKey) -> Kind {
     let (kind, name) = match key {
         ItemKey::Config => (4, ""),
-        ItemKey::Verdict(name) => (5, name.as_str()),
+        ItemKey::Health(name) => (5, name.as_str()),
         ItemKey::Status => (6, ""),
         ItemKey::Load => (7, ""),
         ItemKey::Leaving(name) => (8, name.as_str()),
@@ -107,10 +107,10 @@
             version: c.version,
             checksum: text(c.checksum)?,
         }),
-        Kind::Verdict(v) => Item::Verdict(Verdict {
+        Kind::Health(v) => Item::Health(HealthReport {
             group: name(v.group)?,
             epoch: v.epoch,
-            serves: v.serves,
+            serving: v.serving,
             code: v.code,
             reason: text(v.reason)?,
         }),
@@ -165,7 +165,7 @@
 fn removed_key(removed: wire::Removed) -> Option<ItemKey> {
     Some(match removed.kind {
         4 => ItemKey::Config,
-        5 => ItemKey::Verdict(name(removed.name)?),
+        5 => ItemKey::Health(name(removed.name)?),
         6 => ItemKey::Status,
         7 => ItemKey::Load,
         8 => ItemKey::Leaving(name(removed.name)?),
--- a/crates/peer/src/wire/messages.rs
+++ b/crates/peer/src/wire/messages.rs
@@ -92,7 +92,7 @@
     Config(ConfigAnnouncement),
     /// What a watcher found of a group.
     #[prost(message, tag = "5")]
-    Verdict(Verdict),
+    Health(HealthReport),
     /// What a node is.
     #[prost(message, tag = "6")]
     Status(NodeStatus),
@@ -132,7 +132,7 @@
 
 /// What a watcher found of a group.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Verdict {
+pub struct HealthReport {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
@@ -141,7 +141,7 @@
     pub epoch: u64,
     /// Whether the group may serve.
     #[prost(bool, tag = "3")]
-    pub serves: bool,
+    pub serving: bool,
     /// The watcher's code for the reason.
     #[prost(uint32, tag = "4")]
     pub code: u32,
--- a/crates/peer/tests/dissemination.rs
+++ b/crates/peer/tests/dissemination.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 use eelgrassmill_base::NodeId;
-use eelgrassmill_peer::{Change, ConfigAnnouncement, Item, ItemKey, LeavingTarget, Verdict};
+use eelgrassmill_peer::{Change, ConfigAnnouncement, HealthReport, Item, ItemKey, LeavingTarget};
 use googletest::prelude::*;
 
 use crate::support::net::{Behaviour, Net, member, members, status};
 
-fn verdict(group: &str, serves: bool) -> Item {
-    Item::Verdict(Verdict {
+fn health(group: &str, serving: bool) -> Item {
+    Item::Health(HealthReport {
         group: group.into(),
         epoch: 7,
-        serves,
+        serving,
         code: 1,
         reason: "host-3 is missing".into(),
     })
@@ -31,9 +31,9 @@
 fn an_update_reaches_all_nodes_of_a_mesh() {
     let mut net = Net::new(&members(8, 3), 1);
     net.run(Duration::from_secs(2));
-    net.publish("node-3", verdict("replies/0", true));
+    net.publish("node-3", health("replies/0", true));
     let took = net.run_until(Duration::from_secs(2), |net| {
-        net.all_hold("node-3", &verdict("replies/0", true))
+        net.all_hold("node-3", &health("replies/0", true))
     });
     expect_that!(took, some(le(Duration::from_millis(300))));
     expect_that!(net.agree(), eq(true));
@@ -43,9 +43,9 @@
 fn urgent_updates_do_not_wait_for_the_tick() {
     let mut net = Net::new(&members(8, 3), 2);
     net.run(Duration::from_secs(2));
-    net.publish("node-3", verdict("replies/0", false));
+    net.publish("node-3", health("replies/0", false));
     let took = net.run_until(Duration::from_secs(2), |net| {
-        net.all_hold("node-3", &verdict("replies/0", false))
+        net.all_hold("node-3", &health("replies/0", false))
     });
     expect_that!(took, some(le(Duration::from_millis(70))));
 }
@@ -60,12 +60,12 @@
     let now = net.now;
     net.node("node-0")
         .publish_with_ttl(leaving.clone(), Duration::from_secs(5), now);
-    net.publish("node-0", verdict("replies/0", true));
+    net.publish("node-0", health("replies/0", true));
     net.run(Duration::from_secs(2));
     expect_that!(net.all_hold("node-0", &leaving), eq(true));
     let now = net.now;
     net.node("node-0")
-        .withdraw(&ItemKey::Verdict("replies/0".into()), now);
+        .withdraw(&ItemKey::Health("replies/0".into()), now);
     net.run(Duration::from_secs(4));
     for name in net.nodes.keys() {
         let keys: Vec<ItemKey> = net.nodes[name]
@@ -82,7 +82,7 @@
     // still counted, requests would go to a group that nobody probes.
     let list = members(8, 3);
     let mut net = Net::new(&list, 4);
-    net.publish("node-5", verdict("replies/0", true));
+    net.publish("node-5", health("replies/0", true));
     net.run(Duration::from_secs(2));
     net.start(&list[5], 2, &list);
     net.run(Duration::from_secs(3));
@@ -121,7 +121,7 @@
     // the one must still be fresh at the other.
     let mut net = Net::new(&members(8, 3), 6);
     net.cut("node-1", "node-2");
-    net.publish("node-1", verdict("replies/0", true));
+    net.publish("node-1", health("replies/0", true));
     net.run(Duration::from_secs(5));
     for _ in 0..100 {
         let now = net.now;
@@ -185,7 +185,7 @@
     // lost a host since.
     let list = members(2, 1);
     let mut net = Net::new(&list, 9);
-    net.publish("node-0", verdict("replies/0", true));
+    net.publish("node-0", health("replies/0", true));
     net.run(Duration::from_secs(3));
     let now = net.now;
     net.node("node-0").confirm(now);
@@ -237,10 +237,10 @@
             1 => {
                 let now = net.now;
                 net.node(&node.id)
-                    .withdraw(&ItemKey::Verdict(group.into()), now);
+                    .withdraw(&ItemKey::Health(group.into()), now);
             }
             2 => net.publish(&node.id, announcement(rng.u64(1..9))),
-            _ => net.publish(&node.id, verdict(&group, rng.bool())),
+            _ => net.publish(&node.id, health(&group, rng.bool())),
         }
         net.run(Duration::from_millis(100));
     }
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -6,8 +6,8 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
-    Change, ConfigAnnouncement, Demand, Item, PeerError, QuotaRequest, ScheduleRequest,
-    SlotRequest, Verdict,
+    Change, ConfigAnnouncement, Demand, HealthReport, Item, PeerError, QuotaRequest,
+    ScheduleRequest, SlotRequest,
 };
 use googletest::prelude::*;
 
@@ -17,10 +17,10 @@
 const LIMIT: Duration = Duration::from_secs(10);
 
 fn missing(group: &str) -> Item {
-    Item::Verdict(Verdict {
+    Item::Health(HealthReport {
         group: group.into(),
         epoch: 7,
-        serves: false,
+        serving: false,
         code: 1,
         reason: "host-3 is missing".into(),
     })
--- a/crates/peer/tests/reordering.rs
+++ b/crates/peer/tests/reordering.rs
@@ -7,7 +7,7 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
-    Batch, Dissemination, DisseminationConfig, Item, ItemKey, Timing, Verdict,
+    Batch, Dissemination, DisseminationConfig, HealthReport, Item, ItemKey, Timing,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -46,7 +46,7 @@
 }
 
 fn key(group: u8) -> ItemKey {
-    ItemKey::Verdict(format!("replies/{group}").into())
+    ItemKey::Health(format!("replies/{group}").into())
 }
 
 /// Plays `steps` at node `a`; gives it and all that it sent to `b`.
@@ -57,10 +57,10 @@
     for step in steps {
         match step {
             Step::Publish { group, epoch } => a.publish(
-                Item::Verdict(Verdict {
+                Item::Health(HealthReport {
                     group: format!("replies/{group}").into(),
                     epoch: *epoch,
-                    serves: epoch % 2 == 0,
+                    serving: epoch % 2 == 0,
                     code: 0,
                     reason: "".into(),
                 }),
--- a/crates/peer/tests/scale.rs
+++ b/crates/peer/tests/scale.rs
@@ -7,7 +7,8 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
-    ConfigAnnouncement, Dissemination, DisseminationConfig, Item, Member, Overlay, Timing, Verdict,
+    ConfigAnnouncement, Dissemination, DisseminationConfig, HealthReport, Item, Member, Overlay,
+    Timing,
 };
 use googletest::prelude::*;
 use prost::Message;
@@ -283,10 +284,10 @@
     net.run(Duration::from_millis(1500));
     let flush = Timing::default().flush;
     let bound = (flush + Duration::from_millis(20)) * HOPS as u32;
-    let missing = Item::Verdict(Verdict {
+    let missing = Item::Health(HealthReport {
         group: "replies/0".into(),
         epoch: 7,
-        serves: false,
+        serving: false,
         code: 1,
         reason: "host-3 is missing".into(),
     });
