--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -166,12 +166,12 @@
 ) -> Result<Arc<PeerNode<Peers<P>>>, PeerError> {
     let cfg = &core.cfg;
     let timing = Timing {
-        alive: ALIVE_INTERVAL,
-        large_alive: ALIVE_INTERVAL,
-        large_tick: LARGE_TICK,
-        slow: LOAD_INTERVAL,
-        large_slow: LARGE_LOAD_INTERVAL,
-        expire: Duration::from_secs(8),
+        heartbeat_interval: ALIVE_INTERVAL,
+        large_heartbeat_interval: ALIVE_INTERVAL,
+        large_tick_interval: LARGE_TICK,
+        low_priority_interval: LOAD_INTERVAL,
+        large_low_priority_interval: LARGE_LOAD_INTERVAL,
+        expire_after: Duration::from_secs(8),
         ..Timing::default()
     };
     let me = Member {
--- a/crates/peer/src/dissemination/membership.rs
+++ b/crates/peer/src/dissemination/membership.rs
@@ -147,8 +147,9 @@
 
     /// Forgets origins that were silent for too long.
     pub(super) fn expire_origins(&mut self, now: Instant) -> Vec<Update> {
-        let silent =
-            |confirmed: Instant| now.saturating_duration_since(confirmed) >= self.cfg.timing.expire;
+        let silent = |confirmed: Instant| {
+            now.saturating_duration_since(confirmed) >= self.cfg.timing.expire_after
+        };
         let gone: Vec<NodeId> = self
             .records
             .iter()
@@ -186,8 +187,9 @@
 
     /// Counts listed members as absent that have said nothing for too long.
     pub(super) fn note_silent_members(&mut self, now: Instant) {
-        let overdue =
-            |listed: &Listed| now.saturating_duration_since(listed.since) >= self.cfg.timing.expire;
+        let overdue = |listed: &Listed| {
+            now.saturating_duration_since(listed.since) >= self.cfg.timing.expire_after
+        };
         let silent: Vec<(NodeId, SmolStr)> = self
             .members
             .iter()
--- a/crates/peer/src/dissemination/mod.rs
+++ b/crates/peer/src/dissemination/mod.rs
@@ -49,47 +49,47 @@
     /// Times and limits of dissemination. The defaults are for production.
     pub struct Timing {
         /// Urgent changes wait at most this long at each hop.
-        pub flush: Duration,
+        pub flush_interval: Duration,
         /// Other changes wait at most this long at each hop of a full mesh.
-        pub tick: Duration,
+        pub tick_interval: Duration,
         /// The same in a larger system, where each tick costs more messages.
-        pub large_tick: Duration,
+        pub large_tick_interval: Duration,
         /// Nodes without verdicts confirm their state this far apart.
-        pub alive: Duration,
+        pub heartbeat_interval: Duration,
         /// The same in a larger system.
-        pub large_alive: Duration,
+        pub large_heartbeat_interval: Duration,
         /// Slow items travel this far apart.
-        pub slow: Duration,
+        pub low_priority_interval: Duration,
         /// The same in a larger system.
-        pub large_slow: Duration,
+        pub large_low_priority_interval: Duration,
         /// All fingerprints are compared with one other node this far apart.
-        pub sync: Duration,
+        pub sync_interval: Duration,
         /// Nodes that are cut off are tried this far apart, one at a time.
-        pub probe: Duration,
+        pub reconnect_interval: Duration,
         /// An origin that is silent for this long is forgotten.
-        pub expire: Duration,
+        pub expire_after: Duration,
         /// A call takes at most this long; what is known of a sender's clock starts with it.
-        pub max_transit: Duration,
+        pub call_timeout: Duration,
         /// Most bytes of one batch.
-        pub max_batch: usize,
+        pub max_batch_bytes: usize,
     }
 }
 
 impl Default for Timing {
     fn default() -> Timing {
         Timing {
-            flush: Duration::from_millis(50),
-            tick: Duration::from_millis(250),
-            large_tick: Duration::from_millis(500),
-            alive: Duration::from_secs(2),
-            large_alive: Duration::from_secs(4),
-            slow: Duration::from_secs(2),
-            large_slow: Duration::from_secs(20),
-            sync: Duration::from_secs(10),
-            probe: Duration::from_secs(2),
-            expire: Duration::from_secs(30),
-            max_transit: Duration::from_secs(2),
-            max_batch: 64 * 1024,
+            flush_interval: Duration::from_millis(50),
+            tick_interval: Duration::from_millis(250),
+            large_tick_interval: Duration::from_millis(500),
+            heartbeat_interval: Duration::from_secs(2),
+            large_heartbeat_interval: Duration::from_secs(4),
+            low_priority_interval: Duration::from_secs(2),
+            large_low_priority_interval: Duration::from_secs(20),
+            sync_interval: Duration::from_secs(10),
+            reconnect_interval: Duration::from_secs(2),
+            expire_after: Duration::from_secs(30),
+            call_timeout: Duration::from_secs(2),
+            max_batch_bytes: 64 * 1024,
         }
     }
 }
@@ -194,13 +194,13 @@
             now + period.mul_f64((hash % 1000) as f64 / 1000.0)
         };
         let due = Due {
-            tick: phase(cfg.timing.tick, "tick"),
+            tick: phase(cfg.timing.tick_interval, "tick"),
             last_tick: now,
             after_probes: false,
-            alive: phase(cfg.timing.alive, "alive"),
-            slow: phase(cfg.timing.slow, "slow"),
-            sync: phase(cfg.timing.sync, "sync"),
-            probe: phase(cfg.timing.probe, "probe"),
+            alive: phase(cfg.timing.heartbeat_interval, "alive"),
+            slow: phase(cfg.timing.low_priority_interval, "slow"),
+            sync: phase(cfg.timing.sync_interval, "sync"),
+            probe: phase(cfg.timing.reconnect_interval, "probe"),
             overlay: now,
         };
         let own = Record::new(&cfg.me.id, cfg.incarnation, now);
--- a/crates/peer/src/dissemination/receive.rs
+++ b/crates/peer/src/dissemination/receive.rs
@@ -77,7 +77,7 @@
         // not since before this node could take it. Without that bound nodes that start together
         // would take each other for silent, and each act as if it were alone.
         let up = now.saturating_duration_since(self.began);
-        self.cfg.timing.max_transit.min(up)
+        self.cfg.timing.call_timeout.min(up)
     }
 
     fn take_update(
@@ -131,10 +131,10 @@
         // A node that falls silent would otherwise be brought back by the last
         // node that still remembers it, and so on in turns.
         let age = Duration::from_millis(update.age_ms);
-        if age >= self.cfg.timing.expire || self.records.len() >= MAX_ORIGINS {
+        if age >= self.cfg.timing.expire_after || self.records.len() >= MAX_ORIGINS {
             return false;
         }
-        let Some(long_ago) = before(now, self.cfg.timing.expire / 2) else {
+        let Some(long_ago) = before(now, self.cfg.timing.expire_after / 2) else {
             return false;
         };
         let record = Record::new(origin, update.incarnation, long_ago);
--- a/crates/peer/src/dissemination/send.rs
+++ b/crates/peer/src/dissemination/send.rs
@@ -115,25 +115,25 @@
     /// How far apart ticks are in a system of this size.
     pub fn tick_period(&self) -> Duration {
         if self.overlay.is_mesh() {
-            self.cfg.timing.tick
+            self.cfg.timing.tick_interval
         } else {
-            self.cfg.timing.large_tick
+            self.cfg.timing.large_tick_interval
         }
     }
 
     fn alive_period(&self) -> Duration {
         if self.overlay.is_mesh() {
-            self.cfg.timing.alive
+            self.cfg.timing.heartbeat_interval
         } else {
-            self.cfg.timing.large_alive
+            self.cfg.timing.large_heartbeat_interval
         }
     }
 
     fn slow_period(&self) -> Duration {
         if self.overlay.is_mesh() {
-            self.cfg.timing.slow
+            self.cfg.timing.low_priority_interval
         } else {
-            self.cfg.timing.large_slow
+            self.cfg.timing.large_low_priority_interval
         }
     }
 
@@ -189,7 +189,7 @@
             let pause = if is_new {
                 Duration::ZERO
             } else {
-                self.cfg.timing.sync
+                self.cfg.timing.sync_interval
             };
             self.due.sync = now + pause;
             if let Some(node) = self.next_near(&unreachable) {
@@ -197,7 +197,7 @@
             }
         }
         if now >= self.due.probe {
-            self.due.probe = now + self.cfg.timing.probe;
+            self.due.probe = now + self.cfg.timing.reconnect_interval;
             if let Some(node) = self.next_absent(&unreachable) {
                 self.owed.entry(node).or_default().sync = true;
             }
@@ -273,7 +273,7 @@
         };
         let update = record.since(origin, known, now);
         let size = draft.updates_size + update.encoded_len() + UPDATE_OVERHEAD;
-        if size > self.cfg.timing.max_batch {
+        if size > self.cfg.timing.max_batch_bytes {
             // Without the mark it is sent whole with the next news, or asked for before.
             marks.remove(origin);
             add_confirmation(&mut draft.batch, record, now);
@@ -317,7 +317,7 @@
             };
             let update = record.since(&origin, 0, now);
             size += update.encoded_len() + UPDATE_OVERHEAD;
-            if size > self.cfg.timing.max_batch {
+            if size > self.cfg.timing.max_batch_bytes {
                 owed.states.insert(origin);
                 return;
             }
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -133,7 +133,7 @@
     meter: Meter,
     seeds: Vec<SocketAddr>,
     flush: Duration,
-    max_transit: Duration,
+    call_timeout: Duration,
     /// Updates on their way to the handler. A place is reserved before the state is
     /// changed, so that the order is kept and nothing is lost when it lags behind.
     unhandled: mpsc::Sender<Vec<Update>>,
@@ -351,11 +351,11 @@
             me: cfg.dissemination.me.id.clone(),
             handler,
             blocked_peers,
-            pool: Pool::new(timing.max_transit, meter.clone()),
+            pool: Pool::new(timing.call_timeout, meter.clone()),
             meter,
             seeds: cfg.seeds,
-            flush: timing.flush,
-            max_transit: timing.max_transit,
+            flush: timing.flush_interval,
+            call_timeout: timing.call_timeout,
             unhandled,
             under_way: Mutex::new(BTreeMap::new()),
             state: Mutex::new(Dissemination::new(cfg.dissemination, Instant::now())),
@@ -461,7 +461,7 @@
     async fn exchange(&self, node: NodeId, mut batch: Batch) {
         self.set_timestamp(&mut batch);
         let result: Result<Batch, PeerError> = self
-            .call(&node, path::EXCHANGE, batch, self.max_transit)
+            .call(&node, path::EXCHANGE, batch, self.call_timeout)
             .await;
         self.leave(&node);
         match result {
@@ -495,7 +495,7 @@
 ) {
     let places = Arc::new(Semaphore::new(MAX_ACCEPTED));
     let meter = inner.meter.clone();
-    let timeout = inner.max_transit;
+    let timeout = inner.call_timeout;
     let incoming = TcpListenerStream::new(listener).filter_map(move |accepted| {
         let io = accepted.ok()?;
         let place = Arc::clone(&places).try_acquire_owned().ok()?;
@@ -546,7 +546,7 @@
                 if is_fast {
                     GREET_TIMEOUT
                 } else {
-                    inner.max_transit
+                    inner.call_timeout
                 },
             );
             greet_next = Instant::now() + GREET_INTERVAL;
--- a/crates/peer/tests/scale.rs
+++ b/crates/peer/tests/scale.rs
@@ -126,7 +126,7 @@
         expect_that!(links[links.len() / 2], eq(1), "{count} nodes");
         expect_that!(links[links.len() - 1], le(48), "{count} nodes");
         let mean = links.iter().sum::<usize>() as f64 / links.len() as f64;
-        let ticks = Timing::default().tick.as_secs_f64().recip();
+        let ticks = Timing::default().tick_interval.as_secs_f64().recip();
         mean * ticks * CALL_COST
     });
     expect_that!(costs, each(le(CALL_BUDGET)));
@@ -168,9 +168,9 @@
     let mut net = Net::empty(1);
     net.keep_learned = false;
     net.timing = Timing {
-        large_tick: Duration::from_millis(250),
-        alive: Duration::from_millis(500),
-        large_alive: Duration::from_millis(500),
+        large_tick_interval: Duration::from_millis(250),
+        heartbeat_interval: Duration::from_millis(500),
+        large_heartbeat_interval: Duration::from_millis(500),
         ..Timing::default()
     };
     for member in &list {
@@ -282,7 +282,7 @@
     let mut net = Net::new(&list, 1);
     net.keep_learned = false;
     net.run(Duration::from_millis(1500));
-    let flush = Timing::default().flush;
+    let flush = Timing::default().flush_interval;
     let bound = (flush + Duration::from_millis(20)) * HOPS as u32;
     let missing = Item::Health(HealthReport {
         group: "replies/0".into(),
--- a/crates/peer/tests/support/net.rs
+++ b/crates/peer/tests/support/net.rs
@@ -233,7 +233,7 @@
         let encoded = |(to, batch): (NodeId, Batch)| (to, batch.encode_to_vec());
         let parcels: Vec<(NodeId, Vec<u8>)> = output.batches.into_iter().map(encoded).collect();
         self.spent(name, began);
-        let flush = Timing::default().flush;
+        let flush = Timing::default().flush_interval;
         self.next_flush.insert(name.clone(), now + flush);
         self.learn(name, output.updates);
         for (to, bytes) in parcels {
