--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -417,8 +417,8 @@
 /// Counts what went over the connections to peers since `last`; gives the state now.
 fn count_traffic(core: &Core, peer: &PeerNode<Peers>, last: Traffic) -> Traffic {
     let now = peer.traffic();
-    let sent = now.sent.saturating_sub(last.sent);
-    let received = now.received.saturating_sub(last.received);
+    let sent = now.sent_bytes.saturating_sub(last.sent_bytes);
+    let received = now.received_bytes.saturating_sub(last.received_bytes);
     core.metrics.add_peer_bytes(sent, received);
     now
 }
--- a/crates/peer/examples/capacity/transport.rs
+++ b/crates/peer/examples/capacity/transport.rs
@@ -116,7 +116,8 @@
             one();
         }
         let after = here.traffic();
-        let moved = (after.sent + after.received) - (before.sent + before.received);
+        let moved =
+            (after.sent_bytes + after.received_bytes) - (before.sent_bytes + before.received_bytes);
         bytes.push((f64::from(calls), moved as f64 / f64::from(calls)));
         core.push((f64::from(calls), (core_seconds() - busy) / f64::from(calls)));
     }
@@ -195,7 +196,7 @@
     let traffic = || {
         let nodes = cluster.nodes.values().map(|n| n.node.traffic());
         nodes.fold((0, 0), |(bytes, calls), t| {
-            (bytes + t.sent + t.received, calls + t.calls)
+            (bytes + t.sent_bytes + t.received_bytes, calls + t.calls)
         })
     };
     let (bytes, calls) = traffic();
--- a/crates/peer/src/meter.rs
+++ b/crates/peer/src/meter.rs
@@ -20,25 +20,25 @@
     /// Bytes that went over a node's connections to other nodes, without TCP's own.
     pub struct Traffic {
         /// Bytes sent.
-        pub sent: u64,
+        pub sent_bytes: u64,
         /// Bytes received.
-        pub received: u64,
+        pub received_bytes: u64,
         /// Calls made.
         pub calls: u64,
         /// Calls made that failed.
-        pub failed: u64,
-        /// Connections dialled.
-        pub dialled: u64,
+        pub failed_calls: u64,
+        /// Connections opened to other nodes.
+        pub connections: u64,
     }
 }
 
 #[derive(Debug, Default)]
 struct Counters {
-    sent: AtomicU64,
-    received: AtomicU64,
+    sent_bytes: AtomicU64,
+    received_bytes: AtomicU64,
     calls: AtomicU64,
-    failed: AtomicU64,
-    dialled: AtomicU64,
+    failed_calls: AtomicU64,
+    connections: AtomicU64,
 }
 
 /// Counts for one node.
@@ -50,18 +50,18 @@
 impl Meter {
     pub(crate) fn traffic(&self) -> Traffic {
         Traffic {
-            sent: self.counters.sent.load(Ordering::Relaxed),
-            received: self.counters.received.load(Ordering::Relaxed),
+            sent_bytes: self.counters.sent_bytes.load(Ordering::Relaxed),
+            received_bytes: self.counters.received_bytes.load(Ordering::Relaxed),
             calls: self.counters.calls.load(Ordering::Relaxed),
-            failed: self.counters.failed.load(Ordering::Relaxed),
-            dialled: self.counters.dialled.load(Ordering::Relaxed),
+            failed_calls: self.counters.failed_calls.load(Ordering::Relaxed),
+            connections: self.counters.connections.load(Ordering::Relaxed),
         }
     }
 
     pub(crate) fn called(&self, well: bool) {
         self.counters.calls.fetch_add(1, Ordering::Relaxed);
         if !well {
-            self.counters.failed.fetch_add(1, Ordering::Relaxed);
+            self.counters.failed_calls.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
@@ -100,7 +100,7 @@
         let before = buf.filled().len();
         let polled = Pin::new(&mut self.io).poll_read(cx, buf);
         let read = buf.filled().len() - before;
-        let received = &self.meter.counters.received;
+        let received = &self.meter.counters.received_bytes;
         received.fetch_add(read as u64, Ordering::Relaxed);
         polled
     }
@@ -114,7 +114,7 @@
     ) -> Poll<io::Result<usize>> {
         let polled = Pin::new(&mut self.io).poll_write(cx, buf);
         if let Poll::Ready(Ok(written)) = polled {
-            let sent = &self.meter.counters.sent;
+            let sent = &self.meter.counters.sent_bytes;
             sent.fetch_add(written as u64, Ordering::Relaxed);
         }
         polled
@@ -152,7 +152,7 @@
 
     fn call(&mut self, uri: http::Uri) -> Self::Future {
         let meter = self.meter.clone();
-        meter.counters.dialled.fetch_add(1, Ordering::Relaxed);
+        meter.counters.connections.fetch_add(1, Ordering::Relaxed);
         Box::pin(async move {
             let stream = TcpStream::connect(numeric(&uri)?).await?;
             stream.set_nodelay(true)?;
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -190,12 +190,12 @@
 
     let next = long.replace("key-1000 = väl", "key-1000 = vål");
     serving.put_text(2, &next);
-    let before = cluster.node("node-1").traffic().sent;
+    let before = cluster.node("node-1").traffic().sent_bytes;
     let changed = cluster
         .runtime
         .block_on(here.fetch_config(&other, Some(&whole), LIMIT))
         .expect("it answers");
-    let after = cluster.node("node-1").traffic().sent;
+    let after = cluster.node("node-1").traffic().sent_bytes;
     expect_that!(changed.text, eq(&next));
     expect_that!(after - before, le(long.len() as u64 / 4));
 
@@ -259,12 +259,12 @@
         cluster.runtime.block_on(asked)
     };
     expect_that!(ask(0, 5_000), ok(anything()));
-    let before = here.traffic().dialled;
+    let before = here.traffic().connections;
     for _ in 0..5 {
         expect_that!(ask(60, 30), err(pat!(PeerError::Timeout)));
     }
     expect_that!(ask(0, 5_000), ok(anything()));
-    expect_that!(here.traffic().dialled - before, eq(0));
+    expect_that!(here.traffic().connections - before, eq(0));
 }
 
 /// Guards against nodes that start together knowing nobody for seconds, since the seeds were the
