--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -80,7 +80,7 @@
 
     fn node_load(&self, origin: &NodeId, load: &NodeLoad) {
         self.core.configuration.heard(origin, load.config_version);
-        locked(&self.core.nodes).set_strained(origin, load.strained);
+        locked(&self.core.nodes).set_strained(origin, load.overloaded);
         // A load says that callers' requests have come: loads of weights are slow now.
         if load.load_permille > 0 {
             self.core.set_served();
@@ -92,7 +92,7 @@
         let info = NodeInfo {
             address: status.entry_address,
             failure_domain: status.failure_domain,
-            processor: status.processor,
+            processor: status.cpu_millicores,
             leaving,
         };
         let changed = locked(&self.core.nodes).on_status(origin, info, as_of);
@@ -220,7 +220,7 @@
         failure_domain: cfg.failure_domain.clone(),
         region: cfg.region.clone(),
         leaving: core.is_leaving(),
-        processor: cfg.processor,
+        cpu_millicores: cfg.processor,
     }));
 }
 
@@ -262,7 +262,7 @@
         peer.publish(Item::Load(NodeLoad {
             config_version,
             load_permille,
-            strained: core.is_strained(),
+            overloaded: core.is_strained(),
         }));
         reported = current;
     }
@@ -286,5 +286,5 @@
             ejected: load.is_ejected,
         }
     });
-    loads.filter(GroupLoad::says_anything).collect()
+    loads.filter(GroupLoad::is_reportable).collect()
 }
--- a/crates/node/src/group_rows.rs
+++ b/crates/node/src/group_rows.rs
@@ -9,7 +9,7 @@
 
 use eelgrassmill_base::{GroupId, HostEntry, RowVersion};
 use eelgrassmill_group::GroupRow;
-use eelgrassmill_peer::{GroupRecord, Item, ItemKey, MAX_GROUP_RECORD, PeerNode};
+use eelgrassmill_peer::{GroupRecord, Item, ItemKey, MAX_GROUP_RECORD_BYTES, PeerNode};
 use serde::{Deserialize, Serialize};
 
 use crate::peers::Peers;
@@ -72,7 +72,7 @@
     };
     drop(fleet);
     let record = serde_json::to_vec(&told).ok()?;
-    if record.len() > MAX_GROUP_RECORD {
+    if record.len() > MAX_GROUP_RECORD_BYTES {
         // The others find the row in the table.
         return None;
     }
--- a/crates/node/src/loops/quota.rs
+++ b/crates/node/src/loops/quota.rs
@@ -7,9 +7,7 @@
 use eelgrassmill_base::{GroupId, NodeId};
 use eelgrassmill_config::{Config, ServiceKind};
 use eelgrassmill_group::GroupPhase;
-use eelgrassmill_peer::{
-    Demand as DemandItem, Grant as GrantItem, PeerNode, QuotaReply, QuotaRequest,
-};
+use eelgrassmill_peer::{PeerNode, QuotaDemand, QuotaGrant, QuotaReply, QuotaRequest};
 use eelgrassmill_route::{Demand, Grant, QUOTA_TERM, Slots};
 use tokio::runtime::Handle;
 
@@ -162,12 +160,12 @@
     fleet.serving_nodes().map(|row| row.node.clone()).collect()
 }
 
-fn demand_item(demand: &Demand) -> DemandItem {
-    DemandItem {
+fn demand_item(demand: &Demand) -> QuotaDemand {
+    QuotaDemand {
         group: demand.group.to_string(),
         epoch: demand.epoch,
         seq: demand.seq,
-        holding: demand.holding,
+        accepted_seq: demand.holding,
         running: demand.running.normal,
         urgent_running: demand.running.urgent,
         waiting: demand.waiting.normal,
@@ -175,14 +173,14 @@
     }
 }
 
-fn demand(req: &QuotaRequest, item: &DemandItem) -> Demand {
+fn demand(req: &QuotaRequest, item: &QuotaDemand) -> Demand {
     Demand {
         entry: req.from.as_str().into(),
         incarnation: req.incarnation,
         group: GroupId::from(item.group.as_str()),
         epoch: item.epoch,
         seq: item.seq,
-        holding: item.holding,
+        holding: item.accepted_seq,
         running: Slots {
             normal: item.running,
             urgent: item.urgent_running,
@@ -194,18 +192,18 @@
     }
 }
 
-fn grant_item(grant: &Grant) -> GrantItem {
-    GrantItem {
+fn grant_item(grant: &Grant) -> QuotaGrant {
+    QuotaGrant {
         group: grant.group.to_string(),
         epoch: grant.epoch,
         seq: grant.seq,
         slots: grant.slots.normal,
         urgent_slots: grant.slots.urgent,
-        term_ms: grant.term.as_millis() as u64,
+        ttl_ms: grant.term.as_millis() as u64,
     }
 }
 
-fn grant(core: &Core, issuer: &NodeId, item: &GrantItem) -> Grant {
+fn grant(core: &Core, issuer: &NodeId, item: &QuotaGrant) -> Grant {
     Grant {
         issuer: issuer.clone(),
         entry: core.ident.node.clone(),
@@ -218,6 +216,6 @@
             urgent: item.urgent_slots,
         },
         // A longer term than the protocol's would outlive the issuer's own count.
-        term: Duration::from_millis(item.term_ms).min(QUOTA_TERM),
+        term: Duration::from_millis(item.ttl_ms).min(QUOTA_TERM),
     }
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -394,7 +394,7 @@
         failure_domain: ident.failure_domain.clone(),
         region: ident.region.clone(),
         leaving: takes_no_callers(core),
-        processor: 0,
+        cpu_millicores: 0,
     }));
 }
 
@@ -410,7 +410,7 @@
     peer.publish(Item::Load(NodeLoad {
         config_version: core.config.version(),
         load_permille,
-        strained: false,
+        overloaded: false,
     }));
 }
 
--- a/crates/peer/examples/capacity/rows.rs
+++ b/crates/peer/examples/capacity/rows.rs
@@ -8,7 +8,7 @@
     planner_key,
 };
 use eelgrassmill_peer::capacity::{Inputs, Line};
-use eelgrassmill_peer::{Demand, Grant, QuotaReply, QuotaRequest};
+use eelgrassmill_peer::{QuotaDemand, QuotaGrant, QuotaReply, QuotaRequest};
 use eelgrassmill_stores::Row;
 use prost::Message;
 use serde::Serialize;
@@ -69,20 +69,20 @@
 
 /// A demand of an idle entry and its grant as they travel.
 fn demand_bytes() -> f64 {
-    let demand = Demand {
+    let demand = QuotaDemand {
         group: "drafting/17".into(),
         epoch: 12,
         seq: 4_567,
-        holding: 4_566,
-        ..Demand::default()
+        accepted_seq: 4_566,
+        ..QuotaDemand::default()
     };
-    let grant = Grant {
+    let grant = QuotaGrant {
         group: "drafting/17".into(),
         epoch: 12,
         seq: 4_567,
         slots: 1,
         urgent_slots: 0,
-        term_ms: 2_000,
+        ttl_ms: 2_000,
     };
     let req = QuotaRequest {
         demands: vec![demand],
--- a/crates/peer/examples/capacity/spread.rs
+++ b/crates/peer/examples/capacity/spread.rs
@@ -93,7 +93,7 @@
             let load = NodeLoad {
                 config_version: 4,
                 load_permille,
-                strained: false,
+                overloaded: false,
             };
             self.net.publish(&member.id, Item::Load(load));
         }
--- a/crates/peer/src/item.rs
+++ b/crates/peer/src/item.rs
@@ -26,7 +26,7 @@
         /// The load of a group.
         GroupLoad(GroupLoad),
         /// What tenants have used at the node.
-        Usage(Usage),
+        Usage(TenantUsage),
         /// A group's row, told by the node that plans it.
         Group(GroupRecord),
     }
@@ -49,7 +49,7 @@
         pub serving: bool,
         /// The watcher's code for the reason; its meaning is the group policy's.
         pub code: u32,
-        /// The reason in words, at most [`MAX_TEXT`] bytes.
+        /// The reason in words, at most [`MAX_TEXT_BYTES`] bytes.
         pub reason: SmolStr,
     }
 
@@ -68,7 +68,7 @@
         /// Whether it is about to stop.
         pub leaving: bool,
         /// Processor that it may use, in thousandths of a core; 0 where it doesn't say.
-        pub processor: u32,
+        pub cpu_millicores: u32,
     }
 
     /// What changes often at a node. It travels with the slow items.
@@ -78,7 +78,7 @@
         /// How full it is, in thousandths.
         pub load_permille: u32,
         /// Whether it has too little processor for what it does.
-        pub strained: bool,
+        pub overloaded: bool,
     }
 
     /// A target that takes no new work.
@@ -93,7 +93,7 @@
     pub struct Suspect {
         /// Fingerprint of the request.
         pub fingerprint: SmolStr,
-        /// What is known of it; opaque here, at most [`MAX_RECORD`] bytes.
+        /// What is known of it; opaque here, at most [`MAX_SUSPECT_RECORD_BYTES`] bytes.
         pub record: Vec<u8>,
     }
 
@@ -119,12 +119,12 @@
         pub group: GroupId,
         /// The row's version in the table.
         pub version: RowVersion,
-        /// The row and what else is told with it; opaque here, at most [`MAX_GROUP_RECORD`] bytes.
+        /// The row and what else is told with it; opaque here, at most [`MAX_GROUP_RECORD_BYTES`] bytes.
         pub record: Vec<u8>,
     }
 
     /// What one tenant has used of a service at the node. It travels with the slow items.
-    pub struct Usage {
+    pub struct TenantUsage {
         /// The service.
         pub service: ServiceName,
         /// The tenant.
@@ -191,11 +191,11 @@
 }
 
 /// Longest name or reason, in bytes.
-pub const MAX_TEXT: usize = 200;
+pub const MAX_TEXT_BYTES: usize = 200;
 /// Longest record of a group, in bytes: a row of some tens of members with their addresses.
-pub const MAX_GROUP_RECORD: usize = 16 * 1024;
+pub const MAX_GROUP_RECORD_BYTES: usize = 16 * 1024;
 /// Longest record of a suspect, in bytes.
-pub const MAX_RECORD: usize = 2048;
+pub const MAX_SUSPECT_RECORD_BYTES: usize = 2048;
 
 /// A node's load is told anew when it has changed by this many thousandths.
 const LOAD_STEP: u32 = 50;
@@ -213,7 +213,7 @@
 
 impl GroupLoad {
     /// Whether it differs from a group that nobody has reported.
-    pub fn says_anything(&self) -> bool {
+    pub fn is_reportable(&self) -> bool {
         self.work() > 0 || self.ejected
     }
 
@@ -245,7 +245,7 @@
         match (self, new) {
             (Item::Load(a), Item::Load(b)) => {
                 a.config_version == b.config_version
-                    && a.strained == b.strained
+                    && a.overloaded == b.overloaded
                     && a.load_permille.abs_diff(b.load_permille) < LOAD_STEP
             }
             (Item::GroupLoad(a), Item::GroupLoad(b)) => {
@@ -260,7 +260,7 @@
     /// What a load says that others act on at once: the configuration in force, and strain.
     pub(crate) fn urgent_part(&self) -> Option<(ConfigVersion, bool)> {
         match self {
-            Item::Load(load) => Some((load.config_version, load.strained)),
+            Item::Load(load) => Some((load.config_version, load.overloaded)),
             _ => None,
         }
     }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -24,13 +24,14 @@
 pub use crate::error::PeerError;
 pub use crate::item::{
     Change, ConfigAnnouncement, GroupLoad, GroupRecord, HealthReport, Item, ItemKey, LeavingTarget,
-    MAX_GROUP_RECORD, MAX_RECORD, MAX_TEXT, NodeLoad, NodeStatus, Suspect, Update, Usage,
+    MAX_GROUP_RECORD_BYTES, MAX_SUSPECT_RECORD_BYTES, MAX_TEXT_BYTES, NodeLoad, NodeStatus,
+    Suspect, TenantUsage, Update,
 };
 pub use crate::meter::Traffic;
 pub use crate::node::{HlcTimestamp, PeerHandler, PeerNode, PeerNodeConfig};
 pub use crate::overlay::{FAN_OUT, MESH_LIMIT, Overlay};
 pub use crate::wire::messages::{
-    Batch, Demand, Grant, Item as WireItem, Kind as WireKind, ListReply, ListRequest, OriginUpdate,
-    QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, SlotDecision, SlotEvent,
+    Batch, Item as WireItem, Kind as WireKind, ListReply, ListRequest, OriginUpdate, QuotaDemand,
+    QuotaGrant, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, SlotDecision, SlotEvent,
     SlotEventKind, SlotRequest,
 };
--- a/crates/peer/src/wire/convert.rs
+++ b/crates/peer/src/wire/convert.rs
@@ -4,7 +4,8 @@
 
 use crate::item::{
     ConfigAnnouncement, GroupLoad, GroupRecord, HealthReport, Item, ItemKey, LeavingTarget,
-    MAX_GROUP_RECORD, MAX_RECORD, MAX_TEXT, NodeLoad, NodeStatus, Suspect, Usage,
+    MAX_GROUP_RECORD_BYTES, MAX_SUSPECT_RECORD_BYTES, MAX_TEXT_BYTES, NodeLoad, NodeStatus,
+    Suspect, TenantUsage,
 };
 use crate::wire::messages::{self as wire, Kind};
 
@@ -38,12 +39,12 @@
             failure_domain: s.failure_domain.to_string(),
             region: s.region.to_string(),
             leaving: s.leaving,
-            processor: s.processor,
+            cpu_millicores: s.cpu_millicores,
         }),
         Item::Load(l) => Kind::Load(wire::NodeLoad {
             config_version: l.config_version,
             load_permille: l.load_permille,
-            strained: l.strained,
+            overloaded: l.overloaded,
         }),
         Item::Leaving(l) => Kind::Leaving(wire::LeavingTarget {
             host: l.host.to_string(),
@@ -66,7 +67,7 @@
             version: g.version,
             record: g.record.clone(),
         }),
-        Item::Usage(u) => Kind::Usage(wire::Usage {
+        Item::Usage(u) => Kind::Usage(wire::TenantUsage {
             service: u.service.to_string(),
             tenant: u.tenant.to_string(),
             weight: u.weight,
@@ -121,18 +122,18 @@
             failure_domain: text(s.failure_domain)?,
             region: text(s.region)?,
             leaving: s.leaving,
-            processor: s.processor,
+            cpu_millicores: s.cpu_millicores,
         }),
         Kind::Load(l) => Item::Load(NodeLoad {
             config_version: l.config_version,
             load_permille: l.load_permille,
-            strained: l.strained,
+            overloaded: l.overloaded,
         }),
         Kind::Leaving(l) => Item::Leaving(LeavingTarget {
             host: name(l.host)?,
             incarnation: l.incarnation as Incarnation,
         }),
-        Kind::Suspect(s) if s.record.len() <= MAX_RECORD => Item::Suspect(Suspect {
+        Kind::Suspect(s) if s.record.len() <= MAX_SUSPECT_RECORD_BYTES => Item::Suspect(Suspect {
             fingerprint: name(s.fingerprint)?,
             record: s.record,
         }),
@@ -145,13 +146,13 @@
             assigned: g.assigned,
             ejected: g.ejected,
         }),
-        Kind::Group(g) if g.record.len() <= MAX_GROUP_RECORD => Item::Group(GroupRecord {
+        Kind::Group(g) if g.record.len() <= MAX_GROUP_RECORD_BYTES => Item::Group(GroupRecord {
             group: name(g.group)?,
             version: g.version,
             record: g.record,
         }),
         Kind::Group(_) => return None,
-        Kind::Usage(u) => Item::Usage(Usage {
+        Kind::Usage(u) => Item::Usage(TenantUsage {
             service: name(u.service)?,
             tenant: name(u.tenant)?,
             weight: u.weight,
@@ -182,7 +183,7 @@
 
 /// A text that may be empty.
 fn text(value: String) -> Option<smol_str::SmolStr> {
-    (value.len() <= MAX_TEXT).then(|| value.into())
+    (value.len() <= MAX_TEXT_BYTES).then(|| value.into())
 }
 
 /// A text that names something.
--- a/crates/peer/src/wire/messages.rs
+++ b/crates/peer/src/wire/messages.rs
@@ -110,7 +110,7 @@
     GroupLoad(GroupLoad),
     /// What a tenant has used.
     #[prost(message, tag = "12")]
-    Usage(Usage),
+    Usage(TenantUsage),
     /// A group's row.
     #[prost(message, tag = "13")]
     Group(GroupRecord),
@@ -173,7 +173,7 @@
     pub leaving: bool,
     /// Processor that it may use, in thousandths of a core; 0 where it doesn't say.
     #[prost(uint32, tag = "7")]
-    pub processor: u32,
+    pub cpu_millicores: u32,
 }
 
 /// What changes often at a node.
@@ -187,7 +187,7 @@
     pub load_permille: u32,
     /// Whether it has too little processor for what it does.
     #[prost(bool, tag = "3")]
-    pub strained: bool,
+    pub overloaded: bool,
 }
 
 /// A target that takes no new work.
@@ -228,7 +228,7 @@
 
 /// What one tenant has used of a service at a node.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Usage {
+pub struct TenantUsage {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -369,12 +369,12 @@
     pub incarnation: u64,
     /// One for each group that it could use.
     #[prost(message, repeated, tag = "3")]
-    pub demands: Vec<Demand>,
+    pub demands: Vec<QuotaDemand>,
 }
 
 /// What an entry could use of a group.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Demand {
+pub struct QuotaDemand {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
@@ -395,7 +395,7 @@
     pub seq: u64,
     /// The newest demand whose grant the entry has taken, 0 for none.
     #[prost(uint64, tag = "7")]
-    pub holding: u64,
+    pub accepted_seq: u64,
     /// Urgent requests that it runs there, besides.
     #[prost(uint32, tag = "8")]
     pub urgent_running: u32,
@@ -406,12 +406,12 @@
 pub struct QuotaReply {
     /// One for each group that it grants slots of.
     #[prost(message, repeated, tag = "1")]
-    pub grants: Vec<Grant>,
+    pub grants: Vec<QuotaGrant>,
 }
 
 /// What an entry may use of a group for a while.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Grant {
+pub struct QuotaGrant {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
@@ -426,7 +426,7 @@
     pub urgent_slots: u32,
     /// How long it holds, in milliseconds from when the asker sent its question.
     #[prost(uint64, tag = "5")]
-    pub term_ms: u64,
+    pub ttl_ms: u64,
     /// The demand that it answers.
     #[prost(uint64, tag = "6")]
     pub seq: u64,
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -6,7 +6,7 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
-    Change, ConfigAnnouncement, Demand, HealthReport, Item, PeerError, QuotaRequest,
+    Change, ConfigAnnouncement, HealthReport, Item, PeerError, QuotaDemand, QuotaRequest,
     ScheduleRequest, SlotRequest,
 };
 use googletest::prelude::*;
@@ -138,12 +138,12 @@
     let req = QuotaRequest {
         from: "node-0".into(),
         incarnation: 1,
-        demands: vec![Demand {
+        demands: vec![QuotaDemand {
             group: "replies/0".into(),
             running: 1,
             waiting: 5,
             urgent_waiting: 2,
-            ..Demand::default()
+            ..QuotaDemand::default()
         }],
     };
     let quota = cluster
--- a/crates/peer/tests/support/cluster.rs
+++ b/crates/peer/tests/support/cluster.rs
@@ -7,9 +7,9 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
-    BlockedPeers, ConfigText, DisseminationConfig, Grant, Item, Member, PeerHandler, PeerNode,
-    PeerNodeConfig, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, Timing, Update,
-    checksum,
+    BlockedPeers, ConfigText, DisseminationConfig, Item, Member, PeerHandler, PeerNode,
+    PeerNodeConfig, QuotaGrant, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, Timing,
+    Update, checksum,
 };
 
 use super::net::status;
@@ -64,12 +64,12 @@
     }
 
     fn quota(&self, req: QuotaRequest) -> QuotaReply {
-        let grant = |demand: &eelgrassmill_peer::Demand| Grant {
+        let grant = |demand: &eelgrassmill_peer::QuotaDemand| QuotaGrant {
             group: demand.group.clone(),
             epoch: 1,
             slots: demand.waiting,
             urgent_slots: demand.urgent_waiting,
-            term_ms: 1000,
+            ttl_ms: 1000,
             seq: demand.seq,
         };
         QuotaReply {
--- a/crates/peer/tests/support/net.rs
+++ b/crates/peer/tests/support/net.rs
@@ -96,7 +96,7 @@
         failure_domain: member.failure_domain.clone(),
         region: member.region.clone(),
         leaving: false,
-        processor: 0,
+        cpu_millicores: 0,
     })
 }
 
