--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -113,7 +113,7 @@
     let scope = Scope {
         service: req.service.as_str().into(),
         model: req.model.as_str().into(),
-        heads_in: (!req.heads_in.is_empty()).then(|| req.heads_in.as_str().into()),
+        heads_in: (!req.head_domain.is_empty()).then(|| req.head_domain.as_str().into()),
     };
     let Some(running) = find(&core, &scope) else {
         return ScheduleReply::default();
@@ -123,7 +123,7 @@
     for slot_event in &req.slot_events {
         locked(&running).take(&node, slot_event, now);
     }
-    let Some(wanted) = &req.ask else {
+    let Some(wanted) = &req.slot_request else {
         locked(&running).decide(&heads(&core, &scope), now);
         return ScheduleReply::default();
     };
@@ -141,16 +141,20 @@
     Ask {
         key: RequestKey {
             node: node.clone(),
-            number: wanted.number,
+            number: wanted.request_number,
         },
         failure_domain: domain.into(),
-        prompt: wanted.prompt,
+        prompt: wanted.prompt_tokens,
         resumed: wanted.resumed,
         urgency: u8::try_from(wanted.urgency).unwrap_or(u8::MAX),
-        on_time_until: now + ms(wanted.on_time_ms),
-        until: now + ms(wanted.patience_ms),
-        pause: ms(wanted.pause_ms),
-        avoid: wanted.avoid.iter().map(|h| h.as_str().into()).collect(),
+        on_time_until: now + ms(wanted.slo_remaining_ms),
+        until: now + ms(wanted.max_wait_ms),
+        pause: ms(wanted.max_pause_ms),
+        avoid: wanted
+            .avoid_hosts
+            .iter()
+            .map(|h| h.as_str().into())
+            .collect(),
     }
 }
 
@@ -257,7 +261,7 @@
     fn take(&mut self, node: &NodeId, slot_event: &SlotEvent, now: Instant) {
         let key = RequestKey {
             node: node.clone(),
-            number: slot_event.number,
+            number: slot_event.request_number,
         };
         match slot_event.event() {
             SlotEventKind::Started => self.scheduler.started(&key, now),
--- a/crates/gateway/src/scheduler_client.rs
+++ b/crates/gateway/src/scheduler_client.rs
@@ -91,7 +91,7 @@
     /// Reports after [`BATCH_DELAY`].
     fn report(&self, event: SlotEventKind) {
         let slot_event = SlotEvent {
-            number: self.number,
+            request_number: self.number,
             event: event.into(),
         };
         let to = (self.node.clone(), self.scope.clone());
@@ -130,7 +130,7 @@
 fn request<P: Platform>(
     core: &Core<P>,
     scope: &Scope,
-    ask: Option<SlotRequest>,
+    slot_request: Option<SlotRequest>,
     slot_events: Vec<SlotEvent>,
 ) -> ScheduleRequest {
     ScheduleRequest {
@@ -138,8 +138,8 @@
         failure_domain: core.cfg.failure_domain.to_string(),
         service: scope.service.to_string(),
         model: scope.model.to_string(),
-        heads_in: scope.heads_in.as_deref().unwrap_or_default().to_owned(),
-        ask,
+        head_domain: scope.heads_in.as_deref().unwrap_or_default().to_owned(),
+        slot_request,
         slot_events,
     }
 }
@@ -264,25 +264,25 @@
     }
 }
 
-fn ask(wanted: &SlotWanted<'_>, number: u64) -> SlotRequest {
+fn ask(wanted: &SlotWanted<'_>, request_number: u64) -> SlotRequest {
     let now = Instant::now();
     let ms = |d: Duration| u32::try_from(d.as_millis()).unwrap_or(u32::MAX);
     let call = wanted.call;
     let on_time = call.on_time_until().saturating_duration_since(now);
     let patience = wanted.until.saturating_duration_since(now);
     SlotRequest {
-        number,
-        prompt: call.head.prompt_tokens,
+        request_number,
+        prompt_tokens: call.head.prompt_tokens,
         resumed: wanted.resumed,
         urgency: call.urgency().into(),
-        on_time_ms: ms(on_time),
-        patience_ms: ms(patience),
-        pause_ms: ms(call
+        slo_remaining_ms: ms(on_time),
+        max_wait_ms: ms(patience),
+        max_pause_ms: ms(call
             .route
             .stream
             .as_ref()
             .map_or(call.route.aim, |s| s.pause)),
-        avoid: wanted.avoid.iter().map(ToString::to_string).collect(),
+        avoid_hosts: wanted.avoid.iter().map(ToString::to_string).collect(),
         wait_ms: ms(RPC_WAIT),
     }
 }
--- a/crates/gateway/src/snapshot_relay.rs
+++ b/crates/gateway/src/snapshot_relay.rs
@@ -213,7 +213,7 @@
     let Some(as_of) = as_of else {
         return ListReply::default();
     };
-    let (list, whole) = match catch_up {
+    let (list, is_snapshot) = match catch_up {
         CatchUp::Delta(changes) => {
             let list = EncodedList {
                 version,
@@ -232,8 +232,8 @@
     ListReply {
         version: list.version,
         age_ms: u32::try_from(age.as_millis()).unwrap_or(u32::MAX),
-        failing: core.store_failures() > 0,
-        whole,
+        platform_unreachable: core.store_failures() > 0,
+        is_snapshot,
         changes: list.changes,
     }
 }
@@ -380,10 +380,10 @@
             changes: changes.map_err(RelayError::Malformed)?,
             version: reply.version,
             as_of: now.checked_sub(age).unwrap_or(now),
-            whole: reply.whole,
+            whole: reply.is_snapshot,
         },
         encoded: reply.changes,
         age,
-        failing: reply.failing,
+        failing: reply.platform_unreachable,
     })
 }
--- a/crates/peer/src/wire/messages.rs
+++ b/crates/peer/src/wire/messages.rs
@@ -460,10 +460,10 @@
     pub age_ms: u32,
     /// Whether the answering node gets no answers from the platform itself.
     #[prost(bool, tag = "3")]
-    pub failing: bool,
+    pub platform_unreachable: bool,
     /// Whether the changes are the whole list.
     #[prost(bool, tag = "4")]
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// The changes in order, in the spelling of the nodes' own code.
     #[prost(bytes = "vec", repeated, tag = "5")]
     pub changes: Vec<Vec<u8>>,
@@ -486,10 +486,10 @@
     pub model: String,
     /// The failure domain whose heads are meant; empty for all.
     #[prost(string, tag = "5")]
-    pub heads_in: String,
+    pub head_domain: String,
     /// A request that needs a slot.
     #[prost(message, optional, tag = "6")]
-    pub ask: Option<SlotRequest>,
+    pub slot_request: Option<SlotRequest>,
     /// What became of requests that have or had one, in order.
     #[prost(message, repeated, tag = "7")]
     pub slot_events: Vec<SlotEvent>,
@@ -500,10 +500,10 @@
 pub struct SlotRequest {
     /// Unique at the asking node. A request that waits is asked for again under its number.
     #[prost(uint64, tag = "1")]
-    pub number: u64,
+    pub request_number: u64,
     /// Prompt tokens.
     #[prost(uint64, tag = "2")]
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Whether it continues after its replica was lost.
     #[prost(bool, tag = "3")]
     pub resumed: bool,
@@ -512,16 +512,16 @@
     pub urgency: u32,
     /// For how long it can still be on time, in milliseconds.
     #[prost(uint32, tag = "5")]
-    pub on_time_ms: u32,
+    pub slo_remaining_ms: u32,
     /// For how long it may wait at all, in milliseconds.
     #[prost(uint32, tag = "6")]
-    pub patience_ms: u32,
+    pub max_wait_ms: u32,
     /// The longest pause of a stream of its kind that is on time, in milliseconds.
     #[prost(uint32, tag = "7")]
-    pub pause_ms: u32,
+    pub max_pause_ms: u32,
     /// Hosts that it is not to be sent to while there is another.
     #[prost(string, repeated, tag = "8")]
-    pub avoid: Vec<String>,
+    pub avoid_hosts: Vec<String>,
     /// How long the answer may be waited for, in milliseconds.
     #[prost(uint32, tag = "9")]
     pub wait_ms: u32,
@@ -532,7 +532,7 @@
 pub struct SlotEvent {
     /// The request's number.
     #[prost(uint64, tag = "1")]
-    pub number: u64,
+    pub request_number: u64,
     /// What happened.
     #[prost(enumeration = "SlotEventKind", tag = "2")]
     pub event: i32,
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -248,7 +248,7 @@
     let other = NodeId::from("node-1");
     let ask = |wait_ms, timeout| {
         let req = ScheduleRequest {
-            ask: Some(SlotRequest {
+            slot_request: Some(SlotRequest {
                 wait_ms,
                 ..SlotRequest::default()
             }),
--- a/crates/peer/tests/support/cluster.rs
+++ b/crates/peer/tests/support/cluster.rs
@@ -58,7 +58,7 @@
 
     /// Answers after the time that the request may wait.
     async fn schedule(&self, req: ScheduleRequest) -> ScheduleReply {
-        let wait_ms = req.ask.map_or(0, |ask| ask.wait_ms);
+        let wait_ms = req.slot_request.map_or(0, |slot| slot.wait_ms);
         tokio::time::sleep(Duration::from_millis(wait_ms.into())).await;
         ScheduleReply::default()
     }
