--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -7,9 +7,9 @@
 
 use eelgrassmill_base::{GroupId, NodeId};
 use eelgrassmill_peer::{
-    Change, ConfigText, DisseminationConfig, GroupLoad, GroupRecord, Item, ItemKey, ListReply,
-    ListRequest, Member, NodeLoad, NodeStatus, PeerError, PeerHandler, PeerNode, PeerNodeConfig,
-    Refusals, ScheduleReply, ScheduleRequest, Timing, Update,
+    BlockedPeers, Change, ConfigText, DisseminationConfig, GroupLoad, GroupRecord, Item, ItemKey,
+    ListReply, ListRequest, Member, NodeLoad, NodeStatus, PeerError, PeerHandler, PeerNode,
+    PeerNodeConfig, ScheduleReply, ScheduleRequest, Timing, Update,
 };
 use smol_str::ToSmolStr;
 use tokio::runtime::Handle;
@@ -80,7 +80,7 @@
 
     fn node_load(&self, origin: &NodeId, load: &NodeLoad) {
         self.core.configuration.heard(origin, load.config_version);
-        locked(&self.core.nodes).set_strained(origin, load.strained);
+        locked(&self.core.nodes).set_strained(origin, load.overloaded);
         // A load says that callers' requests have come: loads of weights are slow now.
         if load.load_permille > 0 {
             self.core.set_served();
@@ -92,7 +92,7 @@
         let info = NodeInfo {
             address: status.entry_address,
             failure_domain: status.failure_domain,
-            processor: status.processor,
+            processor: status.cpu_millicores,
             leaving,
         };
         let changed = locked(&self.core.nodes).on_status(origin, info, as_of);
@@ -139,7 +139,7 @@
 }
 
 impl<P: Platform> PeerHandler for Peers<P> {
-    fn updated(&self, updates: Vec<Update>) {
+    fn on_updates(&self, updates: Vec<Update>) {
         for update in updates {
             self.take(update);
         }
@@ -166,12 +166,12 @@
 ) -> Result<Arc<PeerNode<Peers<P>>>, PeerError> {
     let cfg = &core.cfg;
     let timing = Timing {
-        alive: ALIVE_INTERVAL,
-        large_alive: ALIVE_INTERVAL,
-        large_tick: LARGE_TICK,
-        slow: LOAD_INTERVAL,
-        large_slow: LARGE_LOAD_INTERVAL,
-        expire: Duration::from_secs(8),
+        heartbeat_interval: ALIVE_INTERVAL,
+        large_heartbeat_interval: ALIVE_INTERVAL,
+        large_tick_interval: LARGE_TICK,
+        low_priority_interval: LOAD_INTERVAL,
+        large_low_priority_interval: LARGE_LOAD_INTERVAL,
+        expire_after: Duration::from_secs(8),
         ..Timing::default()
     };
     let me = Member {
@@ -198,7 +198,12 @@
     let handler = Arc::new(Peers {
         core: Arc::clone(core),
     });
-    let peer = Arc::new(PeerNode::start(cfg, handler, Refusals::default(), runtime)?);
+    let peer = Arc::new(PeerNode::start(
+        cfg,
+        handler,
+        BlockedPeers::default(),
+        runtime,
+    )?);
     core.set_peer(Arc::clone(&peer));
     publish_status(core);
     Ok(peer)
@@ -215,7 +220,7 @@
         failure_domain: cfg.failure_domain.clone(),
         region: cfg.region.clone(),
         leaving: core.is_leaving(),
-        processor: cfg.processor,
+        cpu_millicores: cfg.processor,
     }));
 }
 
@@ -257,7 +262,7 @@
         peer.publish(Item::Load(NodeLoad {
             config_version,
             load_permille,
-            strained: core.is_strained(),
+            overloaded: core.is_strained(),
         }));
         reported = current;
     }
@@ -281,5 +286,5 @@
             ejected: load.is_ejected,
         }
     });
-    loads.filter(GroupLoad::says_anything).collect()
+    loads.filter(GroupLoad::is_reportable).collect()
 }
--- a/crates/node/src/loops/quota.rs
+++ b/crates/node/src/loops/quota.rs
@@ -8,7 +8,7 @@
 use eelgrassmill_config::{Config, ServiceKind};
 use eelgrassmill_group::GroupPhase;
 use eelgrassmill_peer::{
-    Demand as DemandItem, Grant as GrantItem, PeerNode, QuotaReply, QuotaRequest,
+    PeerNode, QuotaDemand as DemandItem, QuotaGrant as GrantItem, QuotaReply, QuotaRequest,
 };
 use eelgrassmill_route::{QUOTA_TERM, QuotaDemand, QuotaGrant, Slots};
 use tokio::runtime::Handle;
@@ -106,7 +106,7 @@
         let peer = self.peer.clone();
         self.runtime.spawn(async move {
             // Without an answer the fallback part holds; the next round asks again.
-            let Ok(reply) = peer.quota_of(&issuer, req, ASK_TIMEOUT).await else {
+            let Ok(reply) = peer.request_quota(&issuer, req, ASK_TIMEOUT).await else {
                 return;
             };
             let mut quotas = lock(&core.quotas);
@@ -167,7 +167,7 @@
         group: demand.group.to_string(),
         epoch: demand.epoch,
         seq: demand.seq,
-        holding: demand.held_seq,
+        accepted_seq: demand.held_seq,
         running: demand.running.normal,
         urgent_running: demand.running.urgent,
         waiting: demand.waiting.normal,
@@ -182,7 +182,7 @@
         group: GroupId::from(item.group.as_str()),
         epoch: item.epoch,
         seq: item.seq,
-        held_seq: item.holding,
+        held_seq: item.accepted_seq,
         running: Slots {
             normal: item.running,
             urgent: item.urgent_running,
@@ -201,7 +201,7 @@
         seq: grant.seq,
         slots: grant.slots.normal,
         urgent_slots: grant.slots.urgent,
-        term_ms: grant.term.as_millis() as u64,
+        ttl_ms: grant.term.as_millis() as u64,
     }
 }
 
@@ -218,6 +218,6 @@
             urgent: item.urgent_slots,
         },
         // A longer term than the protocol's would outlive the issuer's own count.
-        term: Duration::from_millis(item.term_ms).min(QUOTA_TERM),
+        term: Duration::from_millis(item.ttl_ms).min(QUOTA_TERM),
     }
 }
--- a/crates/node/src/state/usage.rs
+++ b/crates/node/src/state/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use eelgrassmill_base::{NodeId, ServiceName, TenantId};
-use eelgrassmill_peer::{Item, Usage as UsageItem};
+use eelgrassmill_peer::{Item, TenantUsage as UsageItem};
 use eelgrassmill_route::TenantUsage;
 
 /// Tokens by which a tenant's use has to grow before it is told again.
--- a/crates/peer/examples/capacity/transport.rs
+++ b/crates/peer/examples/capacity/transport.rs
@@ -44,7 +44,7 @@
     let mut bases: Vec<ConfigText> = Vec::new();
     for running in cluster.nodes.values() {
         let from = "node-0".into();
-        let first = running.node.config_of(&from, None, LIMIT);
+        let first = running.node.fetch_config(&from, None, LIMIT);
         let own = running.handler.config();
         let first = own.map_or_else(|| cluster.runtime.block_on(first), Ok);
         bases.push(first.expect("the first text"));
@@ -88,7 +88,7 @@
         return false;
     }
     let from = "node-0".into();
-    let text = running.node.config_of(&from, Some(base), LIMIT);
+    let text = running.node.fetch_config(&from, Some(base), LIMIT);
     *base = cluster.runtime.block_on(text).expect("the text");
     true
 }
@@ -103,7 +103,7 @@
             from: "node-0".into(),
             ..QuotaRequest::default()
         };
-        let quota = here.quota_of(&other, req, LIMIT);
+        let quota = here.request_quota(&other, req, LIMIT);
         cluster.runtime.block_on(quota).expect("the node answers");
     };
     one();
@@ -116,7 +116,8 @@
             one();
         }
         let after = here.traffic();
-        let moved = (after.sent + after.received) - (before.sent + before.received);
+        let moved =
+            (after.sent_bytes + after.received_bytes) - (before.sent_bytes + before.received_bytes);
         bytes.push((f64::from(calls), moved as f64 / f64::from(calls)));
         core.push((f64::from(calls), (core_seconds() - busy) / f64::from(calls)));
     }
@@ -195,7 +196,7 @@
     let traffic = || {
         let nodes = cluster.nodes.values().map(|n| n.node.traffic());
         nodes.fold((0, 0), |(bytes, calls), t| {
-            (bytes + t.sent + t.received, calls + t.calls)
+            (bytes + t.sent_bytes + t.received_bytes, calls + t.calls)
         })
     };
     let (bytes, calls) = traffic();
--- a/crates/peer/src/calls.rs
+++ b/crates/peer/src/calls.rs
@@ -24,7 +24,7 @@
         let Some(current) = self.handler.config() else {
             return Ok(FetchConfigReply::default());
         };
-        let base = self.handler.former_config(req.have_version);
+        let base = self.handler.config_at_version(req.have_version);
         let base = base.filter(|base| base.checksum == req.have_checksum);
         Ok(reply(current, base.as_ref()))
     }
@@ -56,7 +56,7 @@
     fn admit(&self, from: &str) -> Result<NodeId, Status> {
         let from =
             name(from.to_string()).ok_or_else(|| Status::invalid_argument("no caller named"))?;
-        if self.refusals.refuses(&from) {
+        if self.blocked_peers.contains(&from) {
             return Err(Status::unavailable("calls are refused by setting"));
         }
         Ok(from)
--- a/crates/peer/src/dissemination/membership.rs
+++ b/crates/peer/src/dissemination/membership.rs
@@ -60,7 +60,7 @@
 impl Dissemination {
     /// Takes the list of members as read from the table. Nodes that are learned of
     /// from their peers take part as well.
-    pub fn peers_changed(&mut self, members: impl IntoIterator<Item = Member>, now: Instant) {
+    pub fn set_members(&mut self, members: impl IntoIterator<Item = Member>, now: Instant) {
         let mut listed = BTreeMap::new();
         for member in members {
             if member.id == self.cfg.me.id {
@@ -147,8 +147,9 @@
 
     /// Forgets origins that were silent for too long.
     pub(super) fn expire_origins(&mut self, now: Instant) -> Vec<Update> {
-        let silent =
-            |confirmed: Instant| now.saturating_duration_since(confirmed) >= self.cfg.timing.expire;
+        let silent = |confirmed: Instant| {
+            now.saturating_duration_since(confirmed) >= self.cfg.timing.expire_after
+        };
         let gone: Vec<NodeId> = self
             .records
             .iter()
@@ -186,8 +187,9 @@
 
     /// Counts listed members as absent that have said nothing for too long.
     pub(super) fn note_silent_members(&mut self, now: Instant) {
-        let overdue =
-            |listed: &Listed| now.saturating_duration_since(listed.since) >= self.cfg.timing.expire;
+        let overdue = |listed: &Listed| {
+            now.saturating_duration_since(listed.since) >= self.cfg.timing.expire_after
+        };
         let silent: Vec<(NodeId, SmolStr)> = self
             .members
             .iter()
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -12,12 +12,12 @@
 use tokio_stream::StreamExt;
 use tokio_stream::wrappers::TcpListenerStream;
 
+use crate::blocked_peers::BlockedPeers;
 use crate::config_text::{ConfigText, restore};
 use crate::dissemination::{Dissemination, DisseminationConfig, Member};
 use crate::error::PeerError;
 use crate::item::{Item, ItemKey, Update};
 use crate::meter::{Meter, Metered, Traffic};
-use crate::refusals::Refusals;
 use crate::wire::client::Pool;
 use crate::wire::messages::{
     Batch, FetchConfigReply, FetchConfigRequest, ListReply, ListRequest, QuotaReply, QuotaRequest,
@@ -50,7 +50,7 @@
 /// No method but [`PeerHandler::list`] and [`PeerHandler::schedule`] may wait.
 pub trait PeerHandler: Send + Sync + 'static {
     /// Takes what this node learned, in the order in which it did.
-    fn updated(&self, updates: Vec<Update>);
+    fn on_updates(&self, updates: Vec<Update>);
 
     /// The configuration in force here, where this node has one to tell.
     fn config(&self) -> Option<ConfigText> {
@@ -58,7 +58,7 @@
     }
 
     /// A former configuration, when it is still at hand, so that a difference can be made.
-    fn former_config(&self, _version: u64) -> Option<ConfigText> {
+    fn config_at_version(&self, _version: u64) -> Option<ConfigText> {
         None
     }
 
@@ -85,22 +85,22 @@
     }
 
     /// The stamp that a batch carries, so that events of two nodes can be put in causal order.
-    fn stamp(&self) -> Stamp {
-        Stamp::default()
+    fn timestamp(&self) -> HlcTimestamp {
+        HlcTimestamp::default()
     }
 
     /// Takes notice of the stamp of another node's batch.
-    fn observed(&self, _stamp: Stamp) {}
+    fn on_timestamp(&self, _timestamp: HlcTimestamp) {}
 }
 
 value! { copy
     /// A stamp of a hybrid logical clock; the timeline crate gives it its meaning.
     #[derive(Default)]
-    pub struct Stamp {
+    pub struct HlcTimestamp {
         /// Milliseconds since 1970.
-        pub ms: u64,
+        pub wall_ms: u64,
         /// Counts stamps within one millisecond.
-        pub count: u32,
+        pub counter: u32,
     }
 }
 
@@ -128,12 +128,12 @@
     pub(crate) me: NodeId,
     state: Mutex<Dissemination>,
     pub(crate) handler: Arc<H>,
-    pub(crate) refusals: Refusals,
+    pub(crate) blocked_peers: BlockedPeers,
     pool: Pool,
     meter: Meter,
     seeds: Vec<SocketAddr>,
     flush: Duration,
-    max_transit: Duration,
+    call_timeout: Duration,
     /// Updates on their way to the handler. A place is reserved before the state is
     /// changed, so that the order is kept and nothing is lost when it lags behind.
     unhandled: mpsc::Sender<Vec<Update>>,
@@ -148,11 +148,11 @@
     pub fn start(
         cfg: PeerNodeConfig,
         handler: Arc<H>,
-        refusals: Refusals,
+        blocked_peers: BlockedPeers,
         runtime: &Handle,
     ) -> Result<PeerNode<H>, PeerError> {
         let listener = std::net::TcpListener::bind(cfg.listen).map_err(PeerError::Listen)?;
-        PeerNode::start_on(listener, cfg, handler, refusals, runtime)
+        PeerNode::start_on(listener, cfg, handler, blocked_peers, runtime)
     }
 
     /// The same on a port that is listened on already, whose number others may have
@@ -164,14 +164,14 @@
         listener: std::net::TcpListener,
         mut cfg: PeerNodeConfig,
         handler: Arc<H>,
-        refusals: Refusals,
+        blocked_peers: BlockedPeers,
         runtime: &Handle,
     ) -> Result<PeerNode<H>, PeerError> {
         listener.set_nonblocking(true).map_err(PeerError::Listen)?;
         let local = listener.local_addr().map_err(PeerError::Listen)?;
         cfg.dissemination.me.address = local.to_string().into();
         let (unhandled, waiting) = mpsc::channel(MAX_UNHANDLED);
-        let inner = Arc::new(Inner::new(cfg, handler, refusals, unhandled));
+        let inner = Arc::new(Inner::new(cfg, handler, blocked_peers, unhandled));
         let (stop, stopped) = watch::channel(false);
         {
             let _guard = runtime.enter();
@@ -190,7 +190,7 @@
     }
 
     /// Reads the state, or publishes and changes members. Must be quick.
-    pub fn with<T>(&self, use_state: impl FnOnce(&mut Dissemination) -> T) -> T {
+    pub fn with_state<T>(&self, use_state: impl FnOnce(&mut Dissemination) -> T) -> T {
         use_state(&mut self.inner.state())
     }
 
@@ -200,8 +200,10 @@
     }
 
     /// Publishes an item that every node drops after `ttl`.
-    pub fn publish_for(&self, item: Item, ttl: Duration) {
-        self.inner.state().publish_for(item, ttl, Instant::now());
+    pub fn publish_with_ttl(&self, item: Item, ttl: Duration) {
+        self.inner
+            .state()
+            .publish_with_ttl(item, ttl, Instant::now());
     }
 
     /// Withdraws an item.
@@ -215,15 +217,15 @@
     }
 
     /// Takes the list of members as read from the table.
-    pub fn peers_changed(&self, members: impl IntoIterator<Item = Member>) {
-        self.inner.state().peers_changed(members, Instant::now());
+    pub fn set_members(&self, members: impl IntoIterator<Item = Member>) {
+        self.inner.state().set_members(members, Instant::now());
     }
 
     /// The events of `node` that `query` selects.
     ///
     /// # Errors
     /// When the node can't be reached, is too slow or refuses.
-    pub async fn timeline_of(
+    pub async fn fetch_timeline(
         &self,
         node: &NodeId,
         query: Vec<u8>,
@@ -239,7 +241,7 @@
     ///
     /// # Errors
     /// When the node can't be reached, is too slow or refuses.
-    pub async fn quota_of(
+    pub async fn request_quota(
         &self,
         node: &NodeId,
         req: QuotaRequest,
@@ -252,7 +254,7 @@
     ///
     /// # Errors
     /// When the node can't be reached, is too slow or refuses.
-    pub async fn list_of(
+    pub async fn fetch_list(
         &self,
         node: &NodeId,
         list: &str,
@@ -273,7 +275,7 @@
     ///
     /// # Errors
     /// When the node can't be reached, is too slow or refuses.
-    pub async fn schedule_at(
+    pub async fn call_scheduler(
         &self,
         node: &NodeId,
         req: ScheduleRequest,
@@ -287,23 +289,23 @@
     ///
     /// # Errors
     /// When the node can't be reached, has none, or its text does not match its checksum.
-    pub async fn config_of(
+    pub async fn fetch_config(
         &self,
         node: &NodeId,
         base: Option<&ConfigText>,
         timeout: Duration,
     ) -> Result<ConfigText, PeerError> {
-        let restored = self.fetch_config(node, base, timeout).await;
+        let restored = self.fetch_config_once(node, base, timeout).await;
         match restored {
             // The node's idea of our version is not ours; the whole text settles it.
             Err(PeerError::Checksum) if base.is_some() => {
-                self.fetch_config(node, None, timeout).await
+                self.fetch_config_once(node, None, timeout).await
             }
             other => other,
         }
     }
 
-    async fn fetch_config(
+    async fn fetch_config_once(
         &self,
         node: &NodeId,
         base: Option<&ConfigText>,
@@ -340,7 +342,7 @@
     fn new(
         cfg: PeerNodeConfig,
         handler: Arc<H>,
-        refusals: Refusals,
+        blocked_peers: BlockedPeers,
         unhandled: mpsc::Sender<Vec<Update>>,
     ) -> Inner<H> {
         let meter = Meter::default();
@@ -348,12 +350,12 @@
         Inner {
             me: cfg.dissemination.me.id.clone(),
             handler,
-            refusals,
-            pool: Pool::new(timing.max_transit, meter.clone()),
+            blocked_peers,
+            pool: Pool::new(timing.call_timeout, meter.clone()),
             meter,
             seeds: cfg.seeds,
-            flush: timing.flush,
-            max_transit: timing.max_transit,
+            flush: timing.flush_interval,
+            call_timeout: timing.call_timeout,
             unhandled,
             under_way: Mutex::new(BTreeMap::new()),
             state: Mutex::new(Dissemination::new(cfg.dissemination, Instant::now())),
@@ -375,21 +377,21 @@
         let mut answer = state.answer(from, now);
         place.send(updates);
         drop(state);
-        self.put_stamp(&mut answer);
+        self.set_timestamp(&mut answer);
         Some(answer)
     }
 
     fn observe(&self, batch: &Batch) {
-        self.handler.observed(Stamp {
-            ms: batch.stamp_ms,
-            count: batch.stamp_count,
+        self.handler.on_timestamp(HlcTimestamp {
+            wall_ms: batch.hlc_wall_ms,
+            counter: batch.hlc_counter,
         });
     }
 
-    fn put_stamp(&self, batch: &mut Batch) {
-        let stamp = self.handler.stamp();
-        batch.stamp_ms = stamp.ms;
-        batch.stamp_count = stamp.count;
+    fn set_timestamp(&self, batch: &mut Batch) {
+        let timestamp = self.handler.timestamp();
+        batch.hlc_wall_ms = timestamp.wall_ms;
+        batch.hlc_counter = timestamp.counter;
     }
 
     /// Takes in the answer to a batch of ours; what it asks for goes with the next flush.
@@ -422,8 +424,8 @@
         Req: prost::Message + Default + 'static,
         Res: prost::Message + Default + 'static,
     {
-        if self.refusals.refuses(node) {
-            return Err(PeerError::SwitchedOff(node.clone()));
+        if self.blocked_peers.contains(node) {
+            return Err(PeerError::Blocked(node.clone()));
         }
         let address = self.address(node)?;
         let result = self.pool.call(address, path, req, timeout).await;
@@ -457,9 +459,9 @@
     }
 
     async fn exchange(&self, node: NodeId, mut batch: Batch) {
-        self.put_stamp(&mut batch);
+        self.set_timestamp(&mut batch);
         let result: Result<Batch, PeerError> = self
-            .call(&node, path::EXCHANGE, batch, self.max_transit)
+            .call(&node, path::EXCHANGE, batch, self.call_timeout)
             .await;
         self.leave(&node);
         match result {
@@ -478,7 +480,7 @@
         self.meter.called(result.is_ok());
         if let Ok(answer) = result {
             let from = NodeId::from(answer.from.as_str());
-            if !self.refusals.refuses(&from) {
+            if !self.blocked_peers.contains(&from) {
                 self.receive_answer(&from, answer);
             }
         }
@@ -493,7 +495,7 @@
 ) {
     let places = Arc::new(Semaphore::new(MAX_ACCEPTED));
     let meter = inner.meter.clone();
-    let timeout = inner.max_transit;
+    let timeout = inner.call_timeout;
     let incoming = TcpListenerStream::new(listener).filter_map(move |accepted| {
         let io = accepted.ok()?;
         let place = Arc::clone(&places).try_acquire_owned().ok()?;
@@ -519,7 +521,7 @@
 async fn deliver<H: PeerHandler>(handler: Arc<H>, mut waiting: mpsc::Receiver<Vec<Update>>) {
     while let Some(updates) = waiting.recv().await {
         if !updates.is_empty() {
-            handler.updated(updates);
+            handler.on_updates(updates);
         }
     }
 }
@@ -544,7 +546,7 @@
                 if is_fast {
                     GREET_TIMEOUT
                 } else {
-                    inner.max_transit
+                    inner.call_timeout
                 },
             );
             greet_next = Instant::now() + GREET_INTERVAL;
--- a/crates/peer/src/wire/messages.rs
+++ b/crates/peer/src/wire/messages.rs
@@ -36,12 +36,12 @@
     /// Whether the limit of a batch cut this one short.
     #[prost(bool, tag = "11")]
     pub more: bool,
-    /// Stamp of the sender's events: milliseconds since 1970.
+    /// HLC timestamp of the sender's events: milliseconds since 1970.
     #[prost(uint64, tag = "12")]
-    pub stamp_ms: u64,
+    pub hlc_wall_ms: u64,
     /// Counts stamps within one millisecond.
     #[prost(uint32, tag = "13")]
-    pub stamp_count: u32,
+    pub hlc_counter: u32,
 }
 
 /// What changed at one origin.
@@ -92,7 +92,7 @@
     Config(ConfigAnnouncement),
     /// What a watcher found of a group.
     #[prost(message, tag = "5")]
-    Verdict(Verdict),
+    Health(HealthReport),
     /// What a node is.
     #[prost(message, tag = "6")]
     Status(NodeStatus),
@@ -110,7 +110,7 @@
     GroupLoad(GroupLoad),
     /// What a tenant has used.
     #[prost(message, tag = "12")]
-    Usage(Usage),
+    Usage(TenantUsage),
     /// A group's row.
     #[prost(message, tag = "13")]
     Group(GroupRecord),
@@ -132,7 +132,7 @@
 
 /// What a watcher found of a group.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Verdict {
+pub struct HealthReport {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
@@ -141,7 +141,7 @@
     pub epoch: u64,
     /// Whether the group may serve.
     #[prost(bool, tag = "3")]
-    pub serves: bool,
+    pub serving: bool,
     /// The watcher's code for the reason.
     #[prost(uint32, tag = "4")]
     pub code: u32,
@@ -173,7 +173,7 @@
     pub leaving: bool,
     /// Processor that it may use, in thousandths of a core; 0 where it doesn't say.
     #[prost(uint32, tag = "7")]
-    pub processor: u32,
+    pub cpu_millicores: u32,
 }
 
 /// What changes often at a node.
@@ -187,7 +187,7 @@
     pub load_permille: u32,
     /// Whether it has too little processor for what it does.
     #[prost(bool, tag = "3")]
-    pub strained: bool,
+    pub overloaded: bool,
 }
 
 /// A target that takes no new work.
@@ -228,7 +228,7 @@
 
 /// What one tenant has used of a service at a node.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Usage {
+pub struct TenantUsage {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -369,12 +369,12 @@
     pub incarnation: u64,
     /// One for each group that it could use.
     #[prost(message, repeated, tag = "3")]
-    pub demands: Vec<Demand>,
+    pub demands: Vec<QuotaDemand>,
 }
 
 /// What an entry could use of a group.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Demand {
+pub struct QuotaDemand {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
@@ -395,7 +395,7 @@
     pub seq: u64,
     /// The newest demand whose grant the entry has taken, 0 for none.
     #[prost(uint64, tag = "7")]
-    pub holding: u64,
+    pub accepted_seq: u64,
     /// Urgent requests that it runs there, besides.
     #[prost(uint32, tag = "8")]
     pub urgent_running: u32,
@@ -406,12 +406,12 @@
 pub struct QuotaReply {
     /// One for each group that it grants slots of.
     #[prost(message, repeated, tag = "1")]
-    pub grants: Vec<Grant>,
+    pub grants: Vec<QuotaGrant>,
 }
 
 /// What an entry may use of a group for a while.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct Grant {
+pub struct QuotaGrant {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
@@ -426,7 +426,7 @@
     pub urgent_slots: u32,
     /// How long it holds, in milliseconds from when the asker sent its question.
     #[prost(uint64, tag = "5")]
-    pub term_ms: u64,
+    pub ttl_ms: u64,
     /// The demand that it answers.
     #[prost(uint64, tag = "6")]
     pub seq: u64,
@@ -460,10 +460,10 @@
     pub age_ms: u32,
     /// Whether the answering node gets no answers from the platform itself.
     #[prost(bool, tag = "3")]
-    pub failing: bool,
+    pub platform_unreachable: bool,
     /// Whether the changes are the whole list.
     #[prost(bool, tag = "4")]
-    pub whole: bool,
+    pub is_snapshot: bool,
     /// The changes in order, in the spelling of the nodes' own code.
     #[prost(bytes = "vec", repeated, tag = "5")]
     pub changes: Vec<Vec<u8>>,
@@ -486,10 +486,10 @@
     pub model: String,
     /// The failure domain whose heads are meant; empty for all.
     #[prost(string, tag = "5")]
-    pub heads_in: String,
+    pub head_domain: String,
     /// A request that needs a slot.
     #[prost(message, optional, tag = "6")]
-    pub ask: Option<SlotRequest>,
+    pub slot_request: Option<SlotRequest>,
     /// What became of requests that have or had one, in order.
     #[prost(message, repeated, tag = "7")]
     pub slot_events: Vec<SlotEvent>,
@@ -500,10 +500,10 @@
 pub struct SlotRequest {
     /// Unique at the asking node. A request that waits is asked for again under its number.
     #[prost(uint64, tag = "1")]
-    pub number: u64,
+    pub request_number: u64,
     /// Prompt tokens.
     #[prost(uint64, tag = "2")]
-    pub prompt: u64,
+    pub prompt_tokens: u64,
     /// Whether it continues after its replica was lost.
     #[prost(bool, tag = "3")]
     pub resumed: bool,
@@ -512,16 +512,16 @@
     pub urgency: u32,
     /// For how long it can still be on time, in milliseconds.
     #[prost(uint32, tag = "5")]
-    pub on_time_ms: u32,
+    pub slo_remaining_ms: u32,
     /// For how long it may wait at all, in milliseconds.
     #[prost(uint32, tag = "6")]
-    pub patience_ms: u32,
+    pub max_wait_ms: u32,
     /// The longest pause of a stream of its kind that is on time, in milliseconds.
     #[prost(uint32, tag = "7")]
-    pub pause_ms: u32,
+    pub max_pause_ms: u32,
     /// Hosts that it is not to be sent to while there is another.
     #[prost(string, repeated, tag = "8")]
-    pub avoid: Vec<String>,
+    pub avoid_hosts: Vec<String>,
     /// How long the answer may be waited for, in milliseconds.
     #[prost(uint32, tag = "9")]
     pub wait_ms: u32,
@@ -532,7 +532,7 @@
 pub struct SlotEvent {
     /// The request's number.
     #[prost(uint64, tag = "1")]
-    pub number: u64,
+    pub request_number: u64,
     /// What happened.
     #[prost(enumeration = "SlotEventKind", tag = "2")]
     pub event: i32,
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -6,8 +6,8 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
-    Change, ConfigAnnouncement, Demand, Item, PeerError, QuotaRequest, ScheduleRequest,
-    SlotRequest, Verdict,
+    Change, ConfigAnnouncement, HealthReport, Item, PeerError, QuotaDemand, QuotaRequest,
+    ScheduleRequest, SlotRequest,
 };
 use googletest::prelude::*;
 
@@ -17,10 +17,10 @@
 const LIMIT: Duration = Duration::from_secs(10);
 
 fn missing(group: &str) -> Item {
-    Item::Verdict(Verdict {
+    Item::Health(HealthReport {
         group: group.into(),
         epoch: 7,
-        serves: false,
+        serving: false,
         code: 1,
         reason: "host-3 is missing".into(),
     })
@@ -63,7 +63,7 @@
     expect_that!(took, some(anything()));
 
     let others: Vec<NodeId> = vec!["node-0".into(), "node-1".into()];
-    cluster.nodes["node-2"].refusals.set(others);
+    cluster.nodes["node-2"].blocked_peers.set(others);
     let second = missing("replies/1");
     cluster.node("node-1").publish(second.clone());
     let reached = wait(Duration::from_millis(1500), || {
@@ -71,7 +71,7 @@
     });
     expect_that!(reached, none());
     for running in cluster.nodes.values() {
-        running.refusals.set([]);
+        running.blocked_peers.set([]);
     }
     let took = wait(LIMIT, || cluster.all_hold("node-1", &second));
     expect_that!(took, some(anything()));
@@ -131,37 +131,39 @@
     let cluster = Cluster::start(2);
     let here = cluster.node("node-0");
     let other = NodeId::from("node-1");
-    let events = here.timeline_of(&other, b"since=3".to_vec(), LIMIT);
+    let events = here.fetch_timeline(&other, b"since=3".to_vec(), LIMIT);
     let events = cluster.runtime.block_on(events).expect("it answers");
     expect_that!(events, eq(b"events for since=3"));
 
     let req = QuotaRequest {
         from: "node-0".into(),
         incarnation: 1,
-        demands: vec![Demand {
+        demands: vec![QuotaDemand {
             group: "replies/0".into(),
             running: 1,
             waiting: 5,
             urgent_waiting: 2,
-            ..Demand::default()
+            ..QuotaDemand::default()
         }],
     };
-    let quota = cluster.runtime.block_on(here.quota_of(&other, req, LIMIT));
+    let quota = cluster
+        .runtime
+        .block_on(here.request_quota(&other, req, LIMIT));
     let grants = quota.expect("it answers").grants;
     expect_that!(grants.len(), eq(1));
     expect_that!(grants[0].slots, eq(5));
 
     let stranger = NodeId::from("nobody");
-    let nobody = here.timeline_of(&stranger, Vec::new(), LIMIT);
+    let nobody = here.fetch_timeline(&stranger, Vec::new(), LIMIT);
     let nobody = cluster.runtime.block_on(nobody);
     expect_that!(nobody, err(pat!(PeerError::NoAddress(_))));
 
-    let huge = here.timeline_of(&other, vec![0; 1024 * 1024], LIMIT);
+    let huge = here.fetch_timeline(&other, vec![0; 1024 * 1024], LIMIT);
     let huge = cluster.runtime.block_on(huge);
     expect_that!(huge, err(pat!(PeerError::Refused(_))));
 
-    cluster.nodes["node-1"].refusals.set(["node-0".into()]);
-    let refused = here.timeline_of(&other, Vec::new(), LIMIT);
+    cluster.nodes["node-1"].blocked_peers.set(["node-0".into()]);
+    let refused = here.fetch_timeline(&other, Vec::new(), LIMIT);
     let refused = cluster.runtime.block_on(refused);
     expect_that!(refused, err(pat!(PeerError::Unreachable(_))));
 }
@@ -173,7 +175,7 @@
     let other = NodeId::from("node-1");
     let none = cluster
         .runtime
-        .block_on(here.config_of(&other, None, LIMIT));
+        .block_on(here.fetch_config(&other, None, LIMIT));
     expect_that!(none, err(pat!(PeerError::NoConfig)));
 
     let long: String = (0..2000).map(|i| format!("key-{i} = väl\n")).collect();
@@ -181,19 +183,19 @@
     serving.put_text(1, &long);
     let whole = cluster
         .runtime
-        .block_on(here.config_of(&other, None, LIMIT))
+        .block_on(here.fetch_config(&other, None, LIMIT))
         .expect("it answers");
     expect_that!(whole.text, eq(&long));
     expect_that!(whole.author, eq("ada"));
 
     let next = long.replace("key-1000 = väl", "key-1000 = vål");
     serving.put_text(2, &next);
-    let before = cluster.node("node-1").traffic().sent;
+    let before = cluster.node("node-1").traffic().sent_bytes;
     let changed = cluster
         .runtime
-        .block_on(here.config_of(&other, Some(&whole), LIMIT))
+        .block_on(here.fetch_config(&other, Some(&whole), LIMIT))
         .expect("it answers");
-    let after = cluster.node("node-1").traffic().sent;
+    let after = cluster.node("node-1").traffic().sent_bytes;
     expect_that!(changed.text, eq(&next));
     expect_that!(after - before, le(long.len() as u64 / 4));
 
@@ -203,7 +205,7 @@
     serving.put_text(3, &long);
     let settled = cluster
         .runtime
-        .block_on(here.config_of(&other, Some(&mistaken), LIMIT))
+        .block_on(here.fetch_config(&other, Some(&mistaken), LIMIT))
         .expect("it answers");
     expect_that!(settled.text, eq(&long));
 }
@@ -227,11 +229,13 @@
     let took = wait(LIMIT, || cluster.all_hold("node-0", &item));
     println!("known at 8 nodes after {took:?}");
     expect_that!(took, some(le(Duration::from_secs(3))));
-    let text = cluster.runtime.block_on(cluster.node("node-7").config_of(
-        &"node-0".into(),
-        None,
-        LIMIT,
-    ));
+    let text = cluster
+        .runtime
+        .block_on(
+            cluster
+                .node("node-7")
+                .fetch_config(&"node-0".into(), None, LIMIT),
+        );
     expect_that!(text.map(|t| t.version).ok(), some(eq(1)));
 }
 
@@ -244,23 +248,23 @@
     let other = NodeId::from("node-1");
     let ask = |wait_ms, timeout| {
         let req = ScheduleRequest {
-            ask: Some(SlotRequest {
+            slot_request: Some(SlotRequest {
                 wait_ms,
                 ..SlotRequest::default()
             }),
             from: "node-0".into(),
             ..ScheduleRequest::default()
         };
-        let asked = here.schedule_at(&other, req, Duration::from_millis(timeout));
+        let asked = here.call_scheduler(&other, req, Duration::from_millis(timeout));
         cluster.runtime.block_on(asked)
     };
     expect_that!(ask(0, 5_000), ok(anything()));
-    let before = here.traffic().dialled;
+    let before = here.traffic().connections;
     for _ in 0..5 {
         expect_that!(ask(60, 30), err(pat!(PeerError::Timeout)));
     }
     expect_that!(ask(0, 5_000), ok(anything()));
-    expect_that!(here.traffic().dialled - before, eq(0));
+    expect_that!(here.traffic().connections - before, eq(0));
 }
 
 /// Guards against nodes that start together knowing nobody for seconds, since the seeds were the
--- a/crates/peer/tests/support/cluster.rs
+++ b/crates/peer/tests/support/cluster.rs
@@ -7,8 +7,9 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
-    ConfigText, DisseminationConfig, Grant, Item, Member, PeerHandler, PeerNode, PeerNodeConfig,
-    QuotaReply, QuotaRequest, Refusals, ScheduleReply, ScheduleRequest, Timing, Update, checksum,
+    BlockedPeers, ConfigText, DisseminationConfig, Item, Member, PeerHandler, PeerNode,
+    PeerNodeConfig, QuotaGrant, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, Timing,
+    Update, checksum,
 };
 
 use super::net::status;
@@ -35,7 +36,7 @@
 }
 
 impl PeerHandler for Recorder {
-    fn updated(&self, updates: Vec<Update>) {
+    fn on_updates(&self, updates: Vec<Update>) {
         let now = Instant::now();
         let mut kept = self.updates.lock().unwrap_or_else(PoisonError::into_inner);
         kept.extend(updates.into_iter().map(|update| (now, update)));
@@ -46,7 +47,7 @@
         texts.values().next_back().cloned()
     }
 
-    fn former_config(&self, version: u64) -> Option<ConfigText> {
+    fn config_at_version(&self, version: u64) -> Option<ConfigText> {
         let texts = self.texts.lock().unwrap_or_else(PoisonError::into_inner);
         texts.get(&version).cloned()
     }
@@ -57,18 +58,18 @@
 
     /// Answers after the time that the request may wait.
     async fn schedule(&self, req: ScheduleRequest) -> ScheduleReply {
-        let wait_ms = req.ask.map_or(0, |ask| ask.wait_ms);
+        let wait_ms = req.slot_request.map_or(0, |slot| slot.wait_ms);
         tokio::time::sleep(Duration::from_millis(wait_ms.into())).await;
         ScheduleReply::default()
     }
 
     fn quota(&self, req: QuotaRequest) -> QuotaReply {
-        let grant = |demand: &eelgrassmill_peer::Demand| Grant {
+        let grant = |demand: &eelgrassmill_peer::QuotaDemand| QuotaGrant {
             group: demand.group.clone(),
             epoch: 1,
             slots: demand.waiting,
             urgent_slots: demand.urgent_waiting,
-            term_ms: 1000,
+            ttl_ms: 1000,
             seq: demand.seq,
         };
         QuotaReply {
@@ -81,7 +82,7 @@
 pub(crate) struct Running {
     pub(crate) member: Member,
     pub(crate) handler: Arc<Recorder>,
-    pub(crate) refusals: Refusals,
+    pub(crate) blocked_peers: BlockedPeers,
     pub(crate) node: PeerNode<Recorder>,
 }
 
@@ -137,11 +138,11 @@
             seeds,
         };
         let handler = Arc::new(Recorder::default());
-        let refusals = Refusals::default();
+        let blocked_peers = BlockedPeers::default();
         let node = PeerNode::start(
             cfg,
             Arc::clone(&handler),
-            refusals.clone(),
+            blocked_peers.clone(),
             self.runtime.handle(),
         )
         .expect("the node starts");
@@ -150,7 +151,7 @@
         let running = Running {
             member,
             handler,
-            refusals,
+            blocked_peers,
             node,
         };
         self.nodes.insert(name.into(), running);
@@ -160,7 +161,7 @@
     pub(crate) fn introduce(&self) {
         let list: Vec<Member> = self.nodes.values().map(|n| n.member.clone()).collect();
         for running in self.nodes.values() {
-            running.node.peers_changed(list.iter().cloned());
+            running.node.set_members(list.iter().cloned());
         }
     }
 
@@ -171,7 +172,7 @@
     /// Whether `node` holds `item` as published by `origin`.
     pub(crate) fn holds(&self, node: &str, origin: &str, item: &Item) -> bool {
         self.node(node)
-            .with(|state| state.items_of(origin).any(|(held, _, _)| held == item))
+            .with_state(|state| state.items_of(origin).any(|(held, _, _)| held == item))
     }
 
     pub(crate) fn all_hold(&self, origin: &str, item: &Item) -> bool {
@@ -180,8 +181,8 @@
 
     /// Makes `a` and `b` refuse each other, both ways.
     pub(crate) fn cut(&self, a: &str, b: &str) {
-        self.nodes[a].refusals.set([b.into()]);
-        self.nodes[b].refusals.set([a.into()]);
+        self.nodes[a].blocked_peers.set([b.into()]);
+        self.nodes[b].blocked_peers.set([a.into()]);
     }
 }
 
--- a/crates/peer/tests/support/net.rs
+++ b/crates/peer/tests/support/net.rs
@@ -96,7 +96,7 @@
         failure_domain: member.failure_domain.clone(),
         region: member.region.clone(),
         leaving: false,
-        processor: 0,
+        cpu_millicores: 0,
     })
 }
 
@@ -139,7 +139,7 @@
             timing: self.timing.clone(),
         };
         let mut node = Dissemination::new(cfg, self.now);
-        node.peers_changed(list.iter().cloned(), self.now);
+        node.set_members(list.iter().cloned(), self.now);
         node.publish(status(member), self.now);
         self.nodes.insert(member.id.clone(), node);
         self.learned.insert(member.id.clone(), Vec::new());
@@ -233,7 +233,7 @@
         let encoded = |(to, batch): (NodeId, Batch)| (to, batch.encode_to_vec());
         let parcels: Vec<(NodeId, Vec<u8>)> = output.batches.into_iter().map(encoded).collect();
         self.spent(name, began);
-        let flush = Timing::default().flush;
+        let flush = Timing::default().flush_interval;
         self.next_flush.insert(name.clone(), now + flush);
         self.learn(name, output.updates);
         for (to, bytes) in parcels {
