--- a/crates/group/src/lease/held.rs
+++ b/crates/group/src/lease/held.rs
@@ -14,13 +14,13 @@
     NotHeld,
     /// The term has run out, less the margin.
     #[error("the lease has lapsed")]
-    Lapsed,
+    Expired,
     /// Another node has deleted or replaced the lease row.
     #[error("the lease was taken over")]
     TakenOver,
     /// The order left, but the lease lapsed while it did.
     #[error("the lease lapsed while the order was being sent")]
-    LapsedDuringSend,
+    ExpiredDuringSend,
 }
 
 value! { copy
@@ -70,14 +70,14 @@
     /// Notes that the renewal sent at `sent` succeeded and left the row at `row`.
     ///
     /// Answers may arrive out of order; an older renewal never shortens a newer one.
-    pub fn renewed(&mut self, sent: Instant, row: RowVersion) {
+    pub fn record_renewal(&mut self, sent: Instant, row: RowVersion) {
         if self.renewed.is_none_or(|(_, known)| known < row) {
             self.renewed = Some((sent, row));
         }
     }
 
     /// Notes that the row is no longer the holder's.
-    pub fn taken_over(&mut self) {
+    pub fn mark_taken_over(&mut self) {
         self.taken_over = true;
     }
 
@@ -95,9 +95,9 @@
             return Err(LeaseError::TakenOver);
         }
         let (sent, row) = self.renewed.ok_or(LeaseError::NotHeld)?;
-        let end = sent + self.timing.term - self.timing.margin;
+        let end = sent + self.timing.term - self.timing.clock_margin;
         if now >= end {
-            return Err(LeaseError::Lapsed);
+            return Err(LeaseError::Expired);
         }
         Ok(LeaseProof { checked: now, row })
     }
@@ -110,11 +110,11 @@
     /// not counted and the host's state is read back.
     ///
     /// # Errors
-    /// [`LeaseError::LapsedDuringSend`] when the order may have left too late.
+    /// [`LeaseError::ExpiredDuringSend`] when the order may have left too late.
     pub fn confirm(&self, proof: LeaseProof, now: Instant) -> Result<(), LeaseError> {
         let too_long = now.duration_since(proof.checked) > self.timing.order_transit;
         if too_long || self.check(now).is_err() {
-            return Err(LeaseError::LapsedDuringSend);
+            return Err(LeaseError::ExpiredDuringSend);
         }
         Ok(())
     }
--- a/crates/group/src/lease/mod.rs
+++ b/crates/group/src/lease/mod.rs
@@ -6,7 +6,7 @@
 
 pub use crate::lease::held::{HeldLease, LeaseError, LeaseProof};
 pub use crate::lease::observer::LeaseObserver;
-pub use crate::lease::takeover::{NotYet, PlannerSeen, Takeover, takeover};
+pub use crate::lease::takeover::{ObservedPlanner, Takeover, TakeoverError, takeover};
 
 use std::time::Duration;
 
@@ -19,18 +19,18 @@
         pub term: Duration,
         /// What the holder gives up early and an observer waits longer, for clocks that
         /// run at different rates.
-        pub margin: Duration,
+        pub clock_margin: Duration,
         /// Longest time from the holder's check until an order has reached its host or failed.
         pub order_transit: Duration,
         /// Longest time between two sightings of a row that still count as one stretch.
-        pub sighting_gap: Duration,
+        pub max_observation_gap: Duration,
     }
 }
 
 impl LeaseTiming {
     /// After this time nothing that a silent holder ordered can still arrive.
-    pub fn outlived_after(&self) -> Duration {
-        self.term + self.margin + self.order_transit
+    pub fn orders_expire_after(&self) -> Duration {
+        self.term + self.clock_margin + self.order_transit
     }
 }
 
@@ -38,9 +38,9 @@
     fn default() -> LeaseTiming {
         LeaseTiming {
             term: Duration::from_secs(6),
-            margin: Duration::from_millis(500),
+            clock_margin: Duration::from_millis(500),
             order_transit: Duration::from_secs(2),
-            sighting_gap: Duration::from_secs(3),
+            max_observation_gap: Duration::from_secs(3),
         }
     }
 }
--- a/crates/group/src/lease/observer.rs
+++ b/crates/group/src/lease/observer.rs
@@ -56,7 +56,7 @@
             return;
         }
         let gap = now.saturating_duration_since(stretch.last);
-        if row > stretch.row || gap > self.timing.sighting_gap {
+        if row > stretch.row || gap > self.timing.max_observation_gap {
             *stretch = fresh;
         } else {
             stretch.last = stretch.last.max(now);
@@ -69,11 +69,11 @@
     }
 
     /// Whether the lease with this row version has lapsed.
-    pub fn lapsed(&self, node: &str, row: RowVersion) -> bool {
+    pub fn has_expired(&self, node: &str, row: RowVersion) -> bool {
         let Some(stretch) = self.seen.get(node) else {
             return false;
         };
-        let needed = self.timing.term + self.timing.margin;
+        let needed = self.timing.term + self.timing.clock_margin;
         stretch.row == row && stretch.last.duration_since(stretch.first) >= needed
     }
 }
--- a/crates/group/src/lease/takeover.rs
+++ b/crates/group/src/lease/takeover.rs
@@ -9,7 +9,7 @@
 
 value! {
     /// What a node has read of its region's planner.
-    pub struct PlannerSeen {
+    pub struct ObservedPlanner {
         /// The planner row and its version; `None` when it is absent.
         pub planner: Option<(PlannerRow, RowVersion)>,
         /// The lease row of the node that the planner row names, and its version.
@@ -26,19 +26,19 @@
         ///
         /// Until then the new planner orders only hosts that check fencing
         /// numbers: any other host would obey whichever order comes last.
-        pub quiet: Duration,
+        pub quiet_period: Duration,
     }
 }
 
 /// Why a node doesn't become planner now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotYet {
+pub enum TakeoverError {
     /// It is the planner already.
     #[error("this node is the planner")]
-    Already,
+    AlreadyPlanner,
     /// The planner's lease has not been seen to lapse.
     #[error("the planner's lease may be valid")]
-    HolderMayLive,
+    HolderMayBeActive,
     /// This node is leaving.
     #[error("this node is leaving")]
     Leaving,
@@ -54,20 +54,20 @@
 pub fn takeover(
     own: &NodeRow,
     own_version: RowVersion,
-    seen: &PlannerSeen,
+    seen: &ObservedPlanner,
     observer: &LeaseObserver,
-) -> Result<Takeover, NotYet> {
+) -> Result<Takeover, TakeoverError> {
     if own.state == NodeState::Leaving {
-        return Err(NotYet::Leaving);
+        return Err(TakeoverError::Leaving);
     }
     let planner = planner_key(&own.region);
     let base = Change::new().expect(node_key(&own.node), own_version);
     let timing = observer.timing();
-    let (change, quiet) = match &seen.planner {
+    let (change, quiet_period) = match &seen.planner {
         // Whoever gives the region up does so after its last order was answered or failed.
         None => (base.expect(planner.clone(), 0), timing.order_transit),
         Some((row, _)) if row.node == own.node && row.incarnation == own.incarnation => {
-            return Err(NotYet::Already);
+            return Err(TakeoverError::AlreadyPlanner);
         }
         Some((row, version)) => {
             let base = base.expect(planner.clone(), *version);
@@ -80,7 +80,7 @@
     });
     Ok(Takeover {
         change: change.put(planner, value),
-        quiet,
+        quiet_period,
     })
 }
 
@@ -90,9 +90,9 @@
     planner: &PlannerRow,
     holder: Option<&(NodeRow, RowVersion)>,
     observer: &LeaseObserver,
-) -> Result<(Change, Duration), NotYet> {
+) -> Result<(Change, Duration), TakeoverError> {
     // Without a lapse that was seen, the holder may believe in its lease for the whole term.
-    let unseen = observer.timing().outlived_after();
+    let unseen = observer.timing().orders_expire_after();
     let key = node_key(&planner.node);
     // An earlier start of this node: its row is this node's row by now.
     if planner.node == own.node {
@@ -106,8 +106,8 @@
         return Ok((base.expect(key, *version), unseen));
     }
     // A leaving holder gives the region up itself; until then its lease counts.
-    if !observer.lapsed(&planner.node, *version) {
-        return Err(NotYet::HolderMayLive);
+    if !observer.has_expired(&planner.node, *version) {
+        return Err(TakeoverError::HolderMayBeActive);
     }
     let change = base
         .expect(key.clone(), *version)
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -15,8 +15,8 @@
     Why, can_serve, judge, watchers,
 };
 pub use crate::lease::{
-    HeldLease, LeaseError, LeaseObserver, LeaseProof, LeaseTiming, NotYet, PlannerSeen, Takeover,
-    takeover,
+    HeldLease, LeaseError, LeaseObserver, LeaseProof, LeaseTiming, ObservedPlanner, Takeover,
+    TakeoverError, takeover,
 };
 pub use crate::plan::{
     Absence, Action, FleetView, FreedBecause, GroupFacts, HostFacts, RepairChoice, RepairPolicy,
--- a/crates/group/src/plan/settle.rs
+++ b/crates/group/src/plan/settle.rs
@@ -199,7 +199,7 @@
 /// the time since then at most.
 fn is_outlived(round: &Round<'_>, host: &HostFacts) -> bool {
     let ended_for = round.now.saturating_duration_since(host.row_since);
-    let needed = round.policy.timing.outlived_after();
+    let needed = round.policy.timing.orders_expire_after();
     ended_for >= needed && host.silent_for(round.now) >= needed
 }
 
--- a/crates/group/tests/lease.rs
+++ b/crates/group/tests/lease.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_group::{
-    HeldLease, LeaseError, LeaseObserver, LeaseTiming, NodeRow, NodeState, NotYet, PlannerRow,
-    PlannerSeen, RowValue, node_key, planner_key, takeover,
+    HeldLease, LeaseError, LeaseObserver, LeaseTiming, NodeRow, NodeState, ObservedPlanner,
+    PlannerRow, RowValue, TakeoverError, node_key, planner_key, takeover,
 };
 use googletest::prelude::*;
 
@@ -24,12 +24,12 @@
     }
 }
 
-fn planned_by(holder: &NodeRow, version: u64) -> PlannerSeen {
+fn planned_by(holder: &NodeRow, version: u64) -> ObservedPlanner {
     let row = PlannerRow {
         node: holder.node.clone(),
         incarnation: holder.incarnation,
     };
-    PlannerSeen {
+    ObservedPlanner {
         planner: Some((row, 3)),
         holder: Some((holder.clone(), version)),
     }
@@ -44,11 +44,11 @@
     let mut lease = HeldLease::new(timing, 1);
     let sent = Instant::now();
     expect_that!(lease.check(sent), err(eq(LeaseError::NotHeld)));
-    lease.renewed(sent, 7);
+    lease.record_renewal(sent, 7);
     expect_that!(lease.row_version(), some(eq(7)));
-    let end = sent + timing.term - timing.margin;
+    let end = sent + timing.term - timing.clock_margin;
     expect_true!(lease.valid_at(end - MS));
-    expect_that!(lease.check(end), err(eq(LeaseError::Lapsed)));
+    expect_that!(lease.check(end), err(eq(LeaseError::Expired)));
 }
 
 /// Two renewals are answered in the wrong order. The older must not shorten the newer.
@@ -57,8 +57,8 @@
     let mut lease = HeldLease::new(LeaseTiming::default(), 1);
     let first = Instant::now();
     let second = first + 1000 * MS;
-    lease.renewed(second, 9);
-    lease.renewed(first, 8);
+    lease.record_renewal(second, 9);
+    lease.record_renewal(first, 8);
     expect_that!(lease.row_version(), some(eq(9)));
     expect_true!(lease.valid_at(first + 6400 * MS));
 }
@@ -70,15 +70,15 @@
     let timing = LeaseTiming::default();
     let mut lease = HeldLease::new(timing, 1);
     let sent = Instant::now();
-    lease.renewed(sent, 1);
+    lease.record_renewal(sent, 1);
     let proof = lease.check(sent + MS).expect("valid");
     expect_that!(lease.confirm(proof, sent + 2 * MS), ok(anything()));
     // Still in its term, but the order was longer on its way than others wait for.
     let late = lease.confirm(proof, sent + timing.order_transit + 2 * MS);
-    expect_that!(late, err(eq(LeaseError::LapsedDuringSend)));
-    lease.taken_over();
+    expect_that!(late, err(eq(LeaseError::ExpiredDuringSend)));
+    lease.mark_taken_over();
     let taken = lease.confirm(proof, sent + 2 * MS);
-    expect_that!(taken, err(eq(LeaseError::LapsedDuringSend)));
+    expect_that!(taken, err(eq(LeaseError::ExpiredDuringSend)));
     expect_that!(lease.check(sent + 2 * MS), err(eq(LeaseError::TakenOver)));
 }
 
@@ -88,21 +88,21 @@
     let timing = LeaseTiming::default();
     let mut observer = LeaseObserver::new(timing);
     let start = Instant::now();
-    let needed = timing.term + timing.margin;
+    let needed = timing.term + timing.clock_margin;
     let mut at = Duration::ZERO;
     while at < needed {
         observer.observe(&"n1".into(), 5, start + at);
-        expect_false!(observer.lapsed("n1", 5));
+        expect_false!(observer.has_expired("n1", 5));
         at += 500 * MS;
     }
     observer.observe(&"n1".into(), 5, start + needed);
-    expect_true!(observer.lapsed("n1", 5));
-    expect_false!(observer.lapsed("n1", 6));
+    expect_true!(observer.has_expired("n1", 5));
+    expect_false!(observer.has_expired("n1", 6));
     // A renewal begins the count anew, and an answer that it overtook is ignored.
     observer.observe(&"n1".into(), 6, start + needed);
     observer.observe(&"n1".into(), 5, start + needed + MS);
-    expect_false!(observer.lapsed("n1", 5));
-    expect_false!(observer.lapsed("n1", 6));
+    expect_false!(observer.has_expired("n1", 5));
+    expect_false!(observer.has_expired("n1", 6));
 }
 
 /// The table was down for ten minutes, so nobody could renew. The first node
@@ -113,7 +113,7 @@
     let start = Instant::now();
     observer.observe(&"n1".into(), 5, start);
     observer.observe(&"n1".into(), 5, start + Duration::from_secs(600));
-    expect_false!(observer.lapsed("n1", 5));
+    expect_false!(observer.has_expired("n1", 5));
 }
 
 #[gtest]
@@ -123,7 +123,7 @@
     let (own, holder) = (node("n2", 1), node("n1", 4));
     let seen = planned_by(&holder, 9);
     let early = takeover(&own, 2, &seen, &observer);
-    expect_that!(early, err(eq(&NotYet::HolderMayLive)));
+    expect_that!(early, err(eq(&TakeoverError::HolderMayBeActive)));
     let start = Instant::now();
     for half in 0..=14 {
         observer.observe(&"n1".into(), 9, start + half * 500 * MS);
@@ -146,7 +146,7 @@
     );
     let deleted = step.change.puts.iter().find(|p| p.key == node_key("n1"));
     expect_that!(deleted.map(|p| &p.value), some(eq(&RowValue::Absent)));
-    expect_that!(step.quiet, eq(timing.order_transit));
+    expect_that!(step.quiet_period, eq(timing.order_transit));
 }
 
 /// The planner restarted, so its lease row is a new start's. The old start's
@@ -159,13 +159,13 @@
     let mut seen = planned_by(&node("n1", 4), 9);
     seen.holder = Some((node("n1", 5), 11));
     let step = takeover(&own, 2, &seen, &observer).expect("that start is over");
-    expect_that!(step.quiet, eq(timing.outlived_after()));
+    expect_that!(step.quiet_period, eq(timing.orders_expire_after()));
     let leaving = NodeRow {
         state: NodeState::Leaving,
         ..own
     };
     expect_that!(
         takeover(&leaving, 2, &seen, &observer),
-        err(eq(&NotYet::Leaving))
+        err(eq(&TakeoverError::Leaving))
     );
 }
--- a/crates/group/tests/plan.rs
+++ b/crates/group/tests/plan.rs
@@ -412,7 +412,7 @@
         }
     }
     let (ended, freed) = (ended.expect("it was ended"), freed.expect("it was freed"));
-    expect_that!(freed - ended, ge(fake.policy.timing.outlived_after()));
+    expect_that!(freed - ended, ge(fake.policy.timing.orders_expire_after()));
 }
 
 /// Each binding and each ending gives a host a higher fence than all before,
--- a/crates/group/tests/support/world.rs
+++ b/crates/group/tests/support/world.rs
@@ -8,8 +8,8 @@
 use eelgrassmill_config::Config;
 use eelgrassmill_group::{
     Change, Evidence, EvidenceStore, FleetView, GroupRow, GroupWatch, HeldLease, LeaseObserver,
-    LeaseProof, LeaseTiming, NodeRow, NodeState, PlannerRow, PlannerSeen, RepairPolicy, RowValue,
-    node_key, plan, planner_key, takeover,
+    LeaseProof, LeaseTiming, NodeRow, NodeState, ObservedPlanner, PlannerRow, RepairPolicy,
+    RowValue, node_key, plan, planner_key, takeover,
 };
 use smol_str::{SmolStr, format_smolstr};
 
@@ -310,7 +310,7 @@
         if matches!(self.commit(n, change), Answer::Committed) {
             self.nodes[n].row = row;
             let version = self.table.version(&key);
-            self.nodes[n].lease.renewed(sent, version);
+            self.nodes[n].lease.record_renewal(sent, version);
         } else {
             // After a lost answer the next reading tells; what it shows was written at `sent`
             // or before, so counting from the earlier renewal stays on the safe side.
@@ -336,13 +336,13 @@
         let holder = planner
             .as_ref()
             .and_then(|(row, _)| self.table.node(&row.node));
-        let seen = PlannerSeen { planner, holder };
+        let seen = ObservedPlanner { planner, holder };
         let node = &self.nodes[n];
         let Ok(step) = takeover(&node.row, own_version, &seen, &node.observer) else {
             return;
         };
         if matches!(self.commit(n, step.change), Answer::Committed) {
-            let quiet = self.now + step.quiet;
+            let quiet = self.now + step.quiet_period;
             let name = self.nodes[n].row.node.clone();
             let view = FleetView::new(name, REGION, self.config.clone(), quiet);
             self.nodes[n].view = Some(view);
--- a/crates/node/src/loops/contender.rs
+++ b/crates/node/src/loops/contender.rs
@@ -20,7 +20,7 @@
     }
     let lapsed = |row: &NodeRow| {
         let version = fleet.nodes.get(&row.node).map_or(0, |(_, v)| *v);
-        seen.observer.lapsed(&row.node, version)
+        seen.observer.has_expired(&row.node, version)
     };
     let alive: Vec<&NodeId> = fleet
         .serving_nodes()
--- a/crates/node/src/loops/lease.rs
+++ b/crates/node/src/loops/lease.rs
@@ -79,7 +79,7 @@
         } else {
             self.version += 1;
         }
-        lock(&self.core.lease).renewed(sent, self.version);
+        lock(&self.core.lease).record_renewal(sent, self.version);
     }
 
     /// The row is not as thought: an answer was lost, or others wrote it.
@@ -96,7 +96,7 @@
         };
         if there.incarnation > self.core.ident.incarnation {
             // A later start with this name: two processes must not share a lease.
-            lock(&self.core.lease).taken_over();
+            lock(&self.core.lease).mark_taken_over();
             tracing::error!(node = %there.node, "another process runs under this node's name");
             return;
         }
@@ -110,7 +110,7 @@
     fn row_is_gone(&mut self) {
         if self.version != 0 {
             let mut lease = lock(&self.core.lease);
-            lease.taken_over();
+            lease.mark_taken_over();
             *lease = HeldLease::new(self.core.timing, self.core.ident.incarnation);
         }
         self.version = 0;
@@ -135,7 +135,7 @@
 
     /// Deletes the row, so that others need not wait for its lapse.
     pub(crate) fn give_back(&mut self) {
-        lock(&self.core.lease).taken_over();
+        lock(&self.core.lease).mark_taken_over();
         let txn = self.txn(false);
         if let Err(err) = self.core.platform.table.commit(&txn) {
             // The lease lapses by itself; others only learn of it later.
--- a/crates/node/src/loops/planner.rs
+++ b/crates/node/src/loops/planner.rs
@@ -8,8 +8,8 @@
 use eelgrassmill_config::ServiceKind;
 use eelgrassmill_group::{
     Action, Change, FleetView, FreedBecause, GROUP_PREFIX, GroupFacts, GroupPhase, GroupRow,
-    HOST_PREFIX, HostFacts, HostRow, NodeState, PlannerRow, PlannerSeen, RepairPolicy, RowValue,
-    Takeover, node_key, plan, planner_key, takeover, weights_name,
+    HOST_PREFIX, HostFacts, HostRow, NodeState, ObservedPlanner, PlannerRow, RepairPolicy,
+    RowValue, Takeover, node_key, plan, planner_key, takeover, weights_name,
 };
 use eelgrassmill_peer::PeerNode;
 use eelgrassmill_stores::{SettleBudget, Settled, Table, TableError, WeightStore, settle};
@@ -170,17 +170,21 @@
             let holder = planner
                 .as_ref()
                 .and_then(|(row, _)| lock(&self.core.fleet).nodes.get(&row.node).cloned());
-            let known = PlannerSeen { planner, holder };
+            let known = ObservedPlanner { planner, holder };
             let wanted = takeover(&own, own_version, &known, &seen.observer);
             (known, wanted)
         };
-        let Ok(Takeover { change, quiet }) = wanted else {
+        let Ok(Takeover {
+            change,
+            quiet_period,
+        }) = wanted
+        else {
             return;
         };
         let from: Option<NodeId> = seen.planner.map(|(row, _)| row.node);
         let txn = txn(self.core.ident.unique(), &change);
         match settle(&self.core.platform.table, &txn, &SettleBudget::default()) {
-            Ok(Settled::Committed) => self.begin(quiet, from),
+            Ok(Settled::Committed) => self.begin(quiet_period, from),
             Ok(_) => {}
             Err(err) => tracing::error!(%err, "takeover is not a settled transaction"),
         }
@@ -195,7 +199,7 @@
             .is_some_and(|(row, _)| row.node == ident.node && row.incarnation == ident.incarnation)
     }
 
-    fn begin(&mut self, quiet: Duration, from: Option<NodeId>) {
+    fn begin(&mut self, quiet_period: Duration, from: Option<NodeId>) {
         let ident = &self.core.ident;
         let row = match self.core.platform.table.get(&planner_key(&ident.region)) {
             Ok(row) => row.as_ref().and_then(decode::<PlannerRow>),
@@ -209,7 +213,7 @@
             return;
         }
         let cfg = self.core.config.config();
-        let quiet_until = Instant::now() + quiet;
+        let quiet_until = Instant::now() + quiet_period;
         let policy = RepairPolicy {
             timing: self.core.timing,
             ..RepairPolicy::new(cfg.repair)
@@ -461,7 +465,7 @@
             let fleet = lock(&self.core.fleet);
             let rows = fleet.nodes.values();
             rows.filter(|(row, version)| {
-                !self.core.is_me(&row.node) && seen.observer.lapsed(&row.node, *version)
+                !self.core.is_me(&row.node) && seen.observer.has_expired(&row.node, *version)
             })
             .map(|(row, version)| (row.node.clone(), *version))
             .collect()
--- a/crates/node/src/state/core.rs
+++ b/crates/node/src/state/core.rs
@@ -97,9 +97,9 @@
     ) -> Core {
         let timing = LeaseTiming {
             term: settings.timing.lease_term,
-            margin: settings.timing.clock_margin,
+            clock_margin: settings.timing.clock_margin,
             order_transit: settings.timing.order_time,
-            sighting_gap: settings.timing.lease_term / 2,
+            max_observation_gap: settings.timing.lease_term / 2,
         };
         let control = HostControl::builder()
             .step_timeout(settings.timing.probe_interval)
