--- a/crates/group/examples/repair/fake.rs
+++ b/crates/group/examples/repair/fake.rs
@@ -9,8 +9,8 @@
 };
 use eelgrassmill_config::Config;
 use eelgrassmill_group::{
-    Action, Change, FleetView, GroupPhase, GroupRow, GroupWatch, RepairPolicy, RowValue, Verdict,
-    Why, plan, weights_name,
+    Action, Change, FleetView, GroupPhase, GroupRow, GroupWatch, MissingReason, RepairPolicy,
+    RowValue, Verdict, plan, weights_name,
 };
 use smol_str::{SmolStr, format_smolstr};
 
@@ -425,7 +425,7 @@
             let restarted = match &verdict {
                 Verdict::Missing {
                     host,
-                    why: Why::Restarted,
+                    reason: MissingReason::Restarted,
                 } => Some(host.clone()),
                 _ => None,
             };
--- a/crates/group/src/evidence/age.rs
+++ b/crates/group/src/evidence/age.rs
@@ -21,14 +21,14 @@
 /// beyond it is added to its age. What stays unseen is the quickest delivery
 /// itself, which is a network round trip at most, and a first message that is late.
 #[derive(Clone, Debug, Default)]
-pub struct AgeKeeper {
+pub struct AgeEstimator {
     offsets: BTreeMap<NodeId, Offset>,
 }
 
-impl AgeKeeper {
+impl AgeEstimator {
     /// Knows no sender yet.
-    pub fn new() -> AgeKeeper {
-        AgeKeeper::default()
+    pub fn new() -> AgeEstimator {
+        AgeEstimator::default()
     }
 
     /// Age at `now` of something that was `age` old when `sender` sent it, `uptime` after
--- a/crates/group/src/evidence/mod.rs
+++ b/crates/group/src/evidence/mod.rs
@@ -6,10 +6,11 @@
 mod verdict;
 mod watch;
 
-pub use crate::evidence::age::AgeKeeper;
-pub use crate::evidence::depend::{CannotServe, can_serve};
+pub use crate::evidence::age::AgeEstimator;
+pub use crate::evidence::depend::{ServiceUnavailable, can_serve};
 pub use crate::evidence::store::{
-    EVIDENCE_MAX_AGE, Evidence, EvidenceStore, NotServing, RESTART_MEMORY, SILENCE_GRACE, ServingAs,
+    EVIDENCE_MAX_AGE, Evidence, EvidenceStore, GroupEndpoint, NotServing, RESTART_RETENTION,
+    SILENCE_GRACE,
 };
-pub use crate::evidence::verdict::{REPORT_MAX_AGE, Verdict, Why, judge};
+pub use crate::evidence::verdict::{MissingReason, REPORT_MAX_AGE, Verdict, evaluate};
 pub use crate::evidence::watch::{GroupWatch, MAX_WATCHERS, WatcherList, watchers};
--- a/crates/group/src/evidence/store.rs
+++ b/crates/group/src/evidence/store.rs
@@ -6,7 +6,7 @@
 use eelgrassmill_base::{Epoch, GroupId, HostId, Incarnation, NodeId, value};
 use smallvec::SmallVec;
 
-use crate::evidence::verdict::{Verdict, Why};
+use crate::evidence::verdict::{MissingReason, Verdict};
 use crate::evidence::watch::MAX_WATCHERS;
 use crate::rows::{GroupPhase, GroupRow};
 
@@ -16,7 +16,7 @@
 /// got at most this much earlier: a cut between one watcher and a host is not the host's fault.
 pub const SILENCE_GRACE: Duration = Duration::from_millis(700);
 /// How long a watcher that has gone silent is believed about a member's restart.
-pub const RESTART_MEMORY: Duration = Duration::from_secs(30);
+pub const RESTART_RETENTION: Duration = Duration::from_secs(30);
 /// Watchers remembered for each group; above [`MAX_WATCHERS`], since nodes disagree for a
 /// while about who watches.
 const REMEMBERED_WATCHERS: usize = 2 * MAX_WATCHERS;
@@ -39,12 +39,12 @@
         /// The finding.
         pub verdict: Verdict,
         /// Age of the finding at receipt, counted from the oldest probe it rests on and
-        /// including the way; see [`crate::AgeKeeper`].
+        /// including the way; see [`crate::AgeEstimator`].
         pub age: Duration,
     }
 
     /// How a group may be served.
-    pub struct ServingAs {
+    pub struct GroupEndpoint {
         /// The epoch to name in requests.
         pub epoch: Epoch,
         /// The member to send them to.
@@ -74,12 +74,12 @@
         age: Duration,
     },
     /// A member is not there.
-    #[error("host {host} is missing: {why:?}")]
+    #[error("host {host} is missing: {reason:?}")]
     Missing {
         /// The member.
         host: HostId,
         /// Why it doesn't count.
-        why: Why,
+        reason: MissingReason,
     },
 }
 
@@ -115,7 +115,7 @@
     /// so another watcher's "whole" doesn't lift it: that watcher may have begun
     /// after the restart. The planner, which is told too, ends the epoch. Should
     /// the planner miss it, the record is lifted when the watcher that made it
-    /// says otherwise or has been silent for [`RESTART_MEMORY`]; else the group
+    /// says otherwise or has been silent for [`RESTART_RETENTION`]; else the group
     /// would stay out of service for ever, as nobody else knows why.
     restarted: Option<Restart>,
     heard: SmallVec<[Heard; REMEMBERED_WATCHERS]>,
@@ -173,10 +173,10 @@
     ///
     /// # Errors
     /// Says why not.
-    pub fn serving(&self, group: &str, now: Instant) -> Result<ServingAs, NotServing> {
+    pub fn serving(&self, group: &str, now: Instant) -> Result<GroupEndpoint, NotServing> {
         let known = self.groups.get(group).ok_or(NotServing::Unknown)?;
         known.may_serve(now)?;
-        Ok(ServingAs {
+        Ok(GroupEndpoint {
             epoch: known.epoch,
             lead: known.lead.clone(),
         })
@@ -254,7 +254,7 @@
         match &evidence.verdict {
             Verdict::Missing {
                 host,
-                why: Why::Restarted,
+                reason: MissingReason::Restarted,
             } => {
                 self.restarted = Some(Restart {
                     watcher: evidence.watcher.clone(),
@@ -283,11 +283,11 @@
         if self.ending {
             return Err(NotServing::Ending);
         }
-        let recent = |r: &&Restart| now.saturating_duration_since(r.at) <= RESTART_MEMORY;
+        let recent = |r: &&Restart| now.saturating_duration_since(r.at) <= RESTART_RETENTION;
         if let Some(restart) = self.restarted.as_ref().filter(recent) {
             return Err(NotServing::Missing {
                 host: restart.host.clone(),
-                why: Why::Restarted,
+                reason: MissingReason::Restarted,
             });
         }
         let whole = self.newest_whole();
@@ -309,10 +309,10 @@
     /// An error when a credible finding newer than `whole` says that a member is missing.
     fn contradiction(&self, whole: Option<Instant>, now: Instant) -> Result<(), NotServing> {
         for heard in &self.heard {
-            let Verdict::Missing { host, why } = &heard.verdict else {
+            let Verdict::Missing { host, reason } = &heard.verdict else {
                 continue;
             };
-            let grace = if why.is_positive() {
+            let grace = if reason.is_positive() {
                 Duration::ZERO
             } else {
                 SILENCE_GRACE
@@ -323,7 +323,7 @@
             if fresh && newer {
                 return Err(NotServing::Missing {
                     host: host.clone(),
-                    why: *why,
+                    reason: *reason,
                 });
             }
         }
--- a/crates/group/src/evidence/verdict.rs
+++ b/crates/group/src/evidence/verdict.rs
@@ -11,7 +11,7 @@
 
 value! { wire copy
     /// Why a member doesn't count as there.
-    pub enum Why {
+    pub enum MissingReason {
         /// No fresh report of it has arrived.
         Silent,
         /// It restarted after the group had been whole.
@@ -33,17 +33,18 @@
             /// The member.
             host: HostId,
             /// Why it doesn't count.
-            why: Why,
+            #[serde(rename = "why")]
+            reason: MissingReason,
         },
         /// The group's row says that it is not for serving: it ends, or it only loads.
         Ending,
     }
 }
 
-impl Why {
+impl MissingReason {
     /// Whether the cause was reported by the host itself and not inferred from silence.
     pub fn is_positive(self) -> bool {
-        self != Why::Silent
+        self != MissingReason::Silent
     }
 }
 
@@ -64,14 +65,14 @@
     row: &GroupRow,
     report: &HostReport,
     whole_as: Option<Incarnation>,
-) -> Option<Why> {
+) -> Option<MissingReason> {
     if whole_as.is_some_and(|known| known != report.incarnation) {
-        return Some(Why::Restarted);
+        return Some(MissingReason::Restarted);
     }
     if !fits(row, report) {
-        return Some(Why::Elsewhere);
+        return Some(MissingReason::Elsewhere);
     }
-    (!report.ready).then_some(Why::NotReady)
+    (!report.ready).then_some(MissingReason::NotReady)
 }
 
 /// Judges one group from the newest report of each member and when its probe was sent.
@@ -79,7 +80,7 @@
 /// `reports` and `whole_as` go in member order; `whole_as` holds the
 /// incarnations that the members had when the group was found whole, and is
 /// empty before that.
-pub fn judge<'a>(
+pub fn evaluate<'a>(
     row: &GroupRow,
     reports: impl IntoIterator<Item = Option<(&'a HostReport, Instant)>>,
     whole_as: &[Incarnation],
@@ -89,34 +90,37 @@
         return Verdict::Ending;
     }
     let mut reports = reports.into_iter();
-    let mut worst: Option<(Why, &HostId)> = None;
+    let mut worst: Option<(MissingReason, &HostId)> = None;
     for (index, host) in row.members.iter().enumerate() {
         let known = whole_as.get(index).copied();
-        let why = match reports.next().flatten() {
+        let reason = match reports.next().flatten() {
             Some((report, sent)) if report.host == *host => {
                 aged(sent, now).or_else(|| fault(row, report, known))
             }
-            _ => Some(Why::Silent),
+            _ => Some(MissingReason::Silent),
         };
-        worst = graver(worst, why.map(|why| (why, host)));
+        worst = graver(worst, reason.map(|reason| (reason, host)));
     }
     match worst {
         None => Verdict::Whole,
-        Some((why, host)) => Verdict::Missing {
+        Some((reason, host)) => Verdict::Missing {
             host: host.clone(),
-            why,
+            reason,
         },
     }
 }
 
-/// [`Why::Silent`] when a report whose probe was sent at `sent` is too old.
-pub(crate) fn aged(sent: Instant, now: Instant) -> Option<Why> {
-    (now.saturating_duration_since(sent) > REPORT_MAX_AGE).then_some(Why::Silent)
+/// [`MissingReason::Silent`] when a report whose probe was sent at `sent` is too old.
+pub(crate) fn aged(sent: Instant, now: Instant) -> Option<MissingReason> {
+    (now.saturating_duration_since(sent) > REPORT_MAX_AGE).then_some(MissingReason::Silent)
 }
 
 /// The graver finding, the earlier one of equals: a restart can't be mended by waiting,
 /// a wrong placement needs an order, silence may pass, loading ends by itself.
-pub(crate) fn graver<H>(a: Option<(Why, H)>, b: Option<(Why, H)>) -> Option<(Why, H)> {
+pub(crate) fn graver<H>(
+    a: Option<(MissingReason, H)>,
+    b: Option<(MissingReason, H)>,
+) -> Option<(MissingReason, H)> {
     match (a, b) {
         (Some(a), Some(b)) if weight(b.0) > weight(a.0) => Some(b),
         (Some(a), _) => Some(a),
@@ -124,11 +128,11 @@
     }
 }
 
-fn weight(why: Why) -> u8 {
-    match why {
-        Why::Restarted => 3,
-        Why::Elsewhere => 2,
-        Why::Silent => 1,
-        Why::NotReady => 0,
+fn weight(reason: MissingReason) -> u8 {
+    match reason {
+        MissingReason::Restarted => 3,
+        MissingReason::Elsewhere => 2,
+        MissingReason::Silent => 1,
+        MissingReason::NotReady => 0,
     }
 }
--- a/crates/group/src/evidence/watch.rs
+++ b/crates/group/src/evidence/watch.rs
@@ -5,7 +5,7 @@
 use eelgrassmill_base::{HostId, HostReport, Incarnation, NodeId, rendezvous};
 use smallvec::SmallVec;
 
-use crate::evidence::verdict::{Verdict, Why, aged, fault, graver};
+use crate::evidence::verdict::{MissingReason, Verdict, aged, fault, graver};
 use crate::rows::{GroupPhase, GroupRow, NodeRow, NodeState};
 
 /// Most watchers of one group.
@@ -68,7 +68,7 @@
     sent: Instant,
     incarnation: Incarnation,
     /// What the report says against the member.
-    fault: Option<Why>,
+    fault: Option<MissingReason>,
 }
 
 /// One watcher's running findings about one epoch of a group.
@@ -142,19 +142,22 @@
         let mut worst = None;
         let mut oldest = now;
         for member in &self.members {
-            let (why, held_at) = match member.last {
+            let (reason, held_at) = match member.last {
                 Some(seen) => match aged(seen.sent, now) {
                     Some(silent) => (Some(silent), now),
                     None => (seen.fault, seen.sent),
                 },
-                None => (Some(Why::Silent), now),
+                None => (Some(MissingReason::Silent), now),
             };
-            worst = graver(worst, why.map(|why| (why, (&member.host, held_at))));
+            worst = graver(
+                worst,
+                reason.map(|reason| (reason, (&member.host, held_at))),
+            );
             oldest = member.last.map_or(oldest, |seen| oldest.min(seen.sent));
         }
-        if let Some((why, (host, held_at))) = worst {
+        if let Some((reason, (host, held_at))) = worst {
             let host = host.clone();
-            return (Verdict::Missing { host, why }, held_at);
+            return (Verdict::Missing { host, reason }, held_at);
         }
         self.bind_incarnations();
         (Verdict::Whole, oldest)
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -10,9 +10,9 @@
 mod rows;
 
 pub use crate::evidence::{
-    AgeKeeper, CannotServe, EVIDENCE_MAX_AGE, Evidence, EvidenceStore, GroupWatch, MAX_WATCHERS,
-    NotServing, REPORT_MAX_AGE, RESTART_MEMORY, SILENCE_GRACE, ServingAs, Verdict, WatcherList,
-    Why, can_serve, judge, watchers,
+    AgeEstimator, EVIDENCE_MAX_AGE, Evidence, EvidenceStore, GroupEndpoint, GroupWatch,
+    MAX_WATCHERS, MissingReason, NotServing, REPORT_MAX_AGE, RESTART_RETENTION, SILENCE_GRACE,
+    ServiceUnavailable, Verdict, WatcherList, can_serve, evaluate, watchers,
 };
 pub use crate::lease::{
     HeldLease, LeaseError, LeaseObserver, LeaseProof, LeaseTiming, ObservedPlanner, Takeover,
@@ -25,5 +25,5 @@
 pub use crate::rows::{
     Change, EndReason, Expect, GROUP_PREFIX, GroupPhase, GroupRow, HOST_PREFIX, HostRow,
     NODE_PREFIX, NodeRow, NodeState, PLANNER_PREFIX, PlannerRow, Put, RowValue, group_id,
-    group_key, host_key, node_key, planner_key, split_group_id, warming_id, weights_name,
+    group_key, host_key, node_key, parse_group_id, planner_key, warming_group_id, weights_name,
 };
--- a/crates/group/src/plan/form.rs
+++ b/crates/group/src/plan/form.rs
@@ -11,7 +11,7 @@
 use crate::plan::round::Round;
 use crate::plan::view::HostFacts;
 use crate::rows::{
-    Change, GroupPhase, GroupRow, HostRow, RowValue, group_id, group_key, host_key, split_group_id,
+    Change, GroupPhase, GroupRow, HostRow, RowValue, group_id, group_key, host_key, parse_group_id,
 };
 
 /// A group to be formed.
@@ -283,7 +283,7 @@
     let taken: std::collections::BTreeSet<u32> = wanted
         .groups
         .iter()
-        .filter_map(|g| split_group_id(g.id()))
+        .filter_map(|g| parse_group_id(g.id()))
         .map(|(_, index)| index)
         .chain(round.formed_now(wanted.name))
         .collect();
--- a/crates/group/src/plan/round.rs
+++ b/crates/group/src/plan/round.rs
@@ -12,7 +12,7 @@
 use crate::plan::policy::RepairPolicy;
 use crate::plan::returns::Absence;
 use crate::plan::view::{FleetView, GroupFacts, HostFacts, TOGETHER};
-use crate::rows::{EndReason, GroupPhase, GroupRow, split_group_id, weights_name};
+use crate::rows::{EndReason, GroupPhase, GroupRow, parse_group_id, weights_name};
 
 type Members<'a> = SmallVec<[&'a HostFacts; 8]>;
 
@@ -100,7 +100,7 @@
         if row.phase != GroupPhase::Formed {
             return;
         }
-        if let Some((_, index)) = split_group_id(&row.group) {
+        if let Some((_, index)) = parse_group_id(&row.group) {
             self.formed.push((service, index));
         }
         let again = |g: &&mut Group<'_>| g.facts.row.group == row.group;
@@ -265,7 +265,7 @@
     fn index_services(&self) -> Vec<Wanted<'a>> {
         let mut groups: BTreeMap<&str, Vec<&'a GroupFacts>> = BTreeMap::new();
         for group in self.view.groups.values() {
-            if split_group_id(&group.row.group).is_some() && self.is_ours(group) {
+            if parse_group_id(&group.row.group).is_some() && self.is_ours(group) {
                 groups.entry(&group.row.service).or_default().push(group);
             }
         }
--- a/crates/group/src/plan/shape.rs
+++ b/crates/group/src/plan/shape.rs
@@ -6,7 +6,7 @@
 use crate::plan::form::has_room;
 use crate::plan::group::{Group, Standing, Wanted};
 use crate::plan::round::Round;
-use crate::rows::{EndReason, GroupPhase, split_group_id};
+use crate::rows::{EndReason, GroupPhase, parse_group_id};
 
 /// Ends groups of services that are gone, and those beyond the number wanted.
 pub(crate) fn end_surplus(round: &mut Round<'_>) {
@@ -104,7 +104,7 @@
 
 /// Lower for groups that are ended first.
 fn worth(wanted: &Wanted<'_>, group: &Group<'_>) -> (bool, bool, bool, Reverse<u32>) {
-    let index = split_group_id(group.id()).map_or(u32::MAX, |(_, index)| index);
+    let index = parse_group_id(group.id()).map_or(u32::MAX, |(_, index)| index);
     let serving = group.is_serving();
     (
         serving,
--- a/crates/group/src/plan/warm.rs
+++ b/crates/group/src/plan/warm.rs
@@ -6,7 +6,7 @@
 use crate::plan::policy::RepairChoice;
 use crate::plan::round::Round;
 use crate::plan::view::HostFacts;
-use crate::rows::{GroupPhase, warming_id};
+use crate::rows::{GroupPhase, warming_group_id};
 
 /// Loads the spares that broken groups wait for and, while every group serves, idle ones
 /// where they mend most.
@@ -61,7 +61,7 @@
 }
 
 fn warm(round: &mut Round<'_>, service: usize, host: &HostFacts) {
-    let group = warming_id(round.wanted[service].name, &host.row.host);
+    let group = warming_group_id(round.wanted[service].name, &host.row.host);
     // A row of an earlier warming is removed first.
     if round.view.groups.contains_key(&group) {
         return;
--- a/crates/group/src/rows.rs
+++ b/crates/group/src/rows.rs
@@ -242,12 +242,12 @@
 }
 
 /// Name of the group by which a spare loads the weights of a service.
-pub fn warming_id(service: &str, host: &str) -> GroupId {
+pub fn warming_group_id(service: &str, host: &str) -> GroupId {
     format_smolstr!("{service}/warm-{host}")
 }
 
 /// Service and index of a group's name.
-pub fn split_group_id(group: &str) -> Option<(&str, u32)> {
+pub fn parse_group_id(group: &str) -> Option<(&str, u32)> {
     let (service, index) = group.rsplit_once('/')?;
     Some((service, index.parse().ok()?))
 }
--- a/crates/group/tests/evidence.rs
+++ b/crates/group/tests/evidence.rs
@@ -5,8 +5,8 @@
 
 use eelgrassmill_base::{HostReport, Placement};
 use eelgrassmill_group::{
-    AgeKeeper, Evidence, EvidenceStore, GroupPhase, GroupRow, GroupWatch, NodeRow, NodeState,
-    NotServing, Verdict, Why, judge, watchers,
+    AgeEstimator, Evidence, EvidenceStore, GroupPhase, GroupRow, GroupWatch, MissingReason,
+    NodeRow, NodeState, NotServing, Verdict, evaluate, watchers,
 };
 use googletest::prelude::*;
 use smol_str::{SmolStr, format_smolstr};
@@ -45,9 +45,9 @@
     }
 }
 
-fn missing(host: &str, why: Why) -> Verdict {
+fn missing(host: &str, reason: MissingReason) -> Verdict {
     let host = host.into();
-    Verdict::Missing { host, why }
+    Verdict::Missing { host, reason }
 }
 
 fn say(watcher: &str, sequence: u64, epoch: u64, verdict: Verdict, age: Duration) -> Evidence {
@@ -71,17 +71,26 @@
     let good = report(&row, "h1", 1);
     let found = |second: HostReport, sent: Instant| {
         let reports = [Some((&good, now)), Some((&second, sent))];
-        judge(&row, reports, &[1, 1], now)
+        evaluate(&row, reports, &[1, 1], now)
     };
     let second = || report(&row, "h2", 1);
     expect_that!(found(second(), now), eq(&Verdict::Whole));
     let old = now - 1501 * MS;
-    expect_that!(found(second(), old), eq(&missing("h2", Why::Silent)));
+    expect_that!(
+        found(second(), old),
+        eq(&missing("h2", MissingReason::Silent))
+    );
     let restarted = report(&row, "h2", 2);
-    expect_that!(found(restarted, now), eq(&missing("h2", Why::Restarted)));
+    expect_that!(
+        found(restarted, now),
+        eq(&missing("h2", MissingReason::Restarted))
+    );
     let mut loading = second();
     loading.ready = false;
-    expect_that!(found(loading, now), eq(&missing("h2", Why::NotReady)));
+    expect_that!(
+        found(loading, now),
+        eq(&missing("h2", MissingReason::NotReady))
+    );
     let changes: [fn(&mut Placement); 4] = [
         |p| p.epoch = 2,
         |p| p.version = "2".into(),
@@ -91,10 +100,16 @@
     for change in changes {
         let mut other = second();
         change(other.placement.as_mut().expect("placed"));
-        expect_that!(found(other, now), eq(&missing("h2", Why::Elsewhere)));
+        expect_that!(
+            found(other, now),
+            eq(&missing("h2", MissingReason::Elsewhere))
+        );
     }
     let misrouted = report(&row, "h9", 1);
-    expect_that!(found(misrouted, now), eq(&missing("h2", Why::Silent)));
+    expect_that!(
+        found(misrouted, now),
+        eq(&missing("h2", MissingReason::Silent))
+    );
 }
 
 /// A member restarts between two probes and is told to join again, so that its
@@ -113,7 +128,7 @@
     watch.on_report(&report(&row, "h2", 1), start);
     expect_that!(
         watch.verdict(start + MS).0,
-        eq(&missing("h2", Why::Restarted))
+        eq(&missing("h2", MissingReason::Restarted))
     );
     let mut next = row.clone();
     next.epoch = 4;
@@ -155,7 +170,10 @@
 fn nothing_late_revives_a_group() {
     let mut store = EvidenceStore::new();
     let now = Instant::now();
-    store.on_evidence(&say("w1", 5, 3, missing("h2", Why::Elsewhere), MS), now);
+    store.on_evidence(
+        &say("w1", 5, 3, missing("h2", MissingReason::Elsewhere), MS),
+        now,
+    );
     let stopped = |store: &EvidenceStore| store.serving("a/0", now).is_err();
     expect_false!(store.on_evidence(&say("w1", 4, 3, Verdict::Whole, MS), now));
     expect_true!(stopped(&store));
@@ -181,20 +199,38 @@
     let now = Instant::now();
     store.on_evidence(&say("w1", 1, 3, Verdict::Whole, 300 * MS), now);
     store.on_evidence(
-        &say("w2", 1, 3, missing("h2", Why::Silent), Duration::ZERO),
+        &say(
+            "w2",
+            1,
+            3,
+            missing("h2", MissingReason::Silent),
+            Duration::ZERO,
+        ),
         now,
     );
     expect_that!(store.serving("a/0", now), ok(anything()));
     let later = now + 500 * MS;
     store.on_evidence(
-        &say("w2", 2, 3, missing("h2", Why::Silent), Duration::ZERO),
+        &say(
+            "w2",
+            2,
+            3,
+            missing("h2", MissingReason::Silent),
+            Duration::ZERO,
+        ),
         later,
     );
     expect_that!(store.serving("a/0", later), err(anything()));
     store.on_evidence(&say("w1", 2, 3, Verdict::Whole, 300 * MS), later);
     expect_that!(store.serving("a/0", later), ok(anything()));
     store.on_evidence(
-        &say("w2", 3, 3, missing("h2", Why::Elsewhere), Duration::ZERO),
+        &say(
+            "w2",
+            3,
+            3,
+            missing("h2", MissingReason::Elsewhere),
+            Duration::ZERO,
+        ),
         later,
     );
     expect_that!(store.serving("a/0", later), err(anything()));
@@ -206,7 +242,10 @@
 fn a_restart_is_not_outweighed_by_another_watcher() {
     let mut store = EvidenceStore::new();
     let now = Instant::now();
-    store.on_evidence(&say("w1", 1, 3, missing("h2", Why::Restarted), MS), now);
+    store.on_evidence(
+        &say("w1", 1, 3, missing("h2", MissingReason::Restarted), MS),
+        now,
+    );
     store.on_evidence(&say("w2", 1, 3, Verdict::Whole, Duration::ZERO), now);
     expect_that!(store.serving("a/0", now), err(anything()));
     expect_that!(store.restarted("a/0", 3), some(eq("h2")));
@@ -220,7 +259,7 @@
 /// sender's account it is fresh.
 #[gtest]
 fn the_way_counts_as_age() {
-    let mut ages = AgeKeeper::new();
+    let mut ages = AgeEstimator::new();
     let start = Instant::now();
     let sender = SmolStr::from("w1");
     let mut age = |uptime, now| ages.age_at_receipt(&sender, 1, uptime, 10 * MS, now);
--- a/crates/group/tests/failures.rs
+++ b/crates/group/tests/failures.rs
@@ -15,7 +15,7 @@
 
 use eelgrassmill_base::{HostState, Order, OrderKind, Placement};
 use eelgrassmill_config::RepairWeight;
-use eelgrassmill_group::{GroupRow, NotServing, RepairPolicy, Why};
+use eelgrassmill_group::{GroupRow, MissingReason, NotServing, RepairPolicy};
 use googletest::prelude::*;
 use smol_str::SmolStr;
 
@@ -354,7 +354,7 @@
     strike(&mut world, &row.members[1], Fault::Pause(9));
     let silent = NotServing::Missing {
         host: row.members[1].clone(),
-        why: Why::Silent,
+        reason: MissingReason::Silent,
     };
     world.run(2 * SECOND + SECOND / 4);
     expect_that!(
--- a/crates/node/src/loops/quota.rs
+++ b/crates/node/src/loops/quota.rs
@@ -79,7 +79,7 @@
         let mut wanted = Vec::new();
         for shard in self.core.all_shards() {
             let of_shard = |s: &&Shared| {
-                let service = eelgrassmill_group::split_group_id(&s.group);
+                let service = eelgrassmill_group::parse_group_id(&s.group);
                 service.is_some_and(|(service, _)| service == shard.service().as_str())
             };
             let groups: Vec<&Shared> = shared.iter().filter(of_shard).collect();
--- a/crates/node/src/loops/watcher.rs
+++ b/crates/node/src/loops/watcher.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 use eelgrassmill_base::{GroupId, HostId, NodeId};
-use eelgrassmill_group::{GroupRow, GroupWatch, REPORT_MAX_AGE, Verdict, Why};
+use eelgrassmill_group::{GroupRow, GroupWatch, MissingReason, REPORT_MAX_AGE, Verdict};
 use eelgrassmill_peer::{Item, ItemKey, LeavingTarget, PeerNode};
 use eelgrassmill_timeline::EventKind;
 use smol_str::{SmolStr, format_smolstr};
@@ -154,7 +154,7 @@
             Some(_) => Verdict::Whole,
             None => Verdict::Missing {
                 host: host.clone(),
-                why: Why::Silent,
+                reason: MissingReason::Silent,
             },
         };
         let finding = Finding {
--- a/crates/node/src/peers.rs
+++ b/crates/node/src/peers.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::{ConfigVersion, HostId, Incarnation, NodeId, rendezvous};
-use eelgrassmill_group::{Verdict, Why};
+use eelgrassmill_group::{MissingReason, Verdict};
 use eelgrassmill_peer::{
     Change, ConfigText, Item, ItemKey, PeerHandler, PeerNode, QuotaReply, QuotaRequest, Stamp,
     Update, Verdict as VerdictItem,
@@ -216,7 +216,7 @@
     let (code, host) = match &finding.verdict {
         Verdict::Whole => (code::WHOLE, ""),
         Verdict::Ending => (code::ENDING, ""),
-        Verdict::Missing { host, why } => (code_of(*why), host.as_str()),
+        Verdict::Missing { host, reason } => (code_of(*reason), host.as_str()),
     };
     VerdictItem {
         group: finding.group.clone(),
@@ -227,12 +227,12 @@
     }
 }
 
-fn code_of(why: Why) -> u32 {
-    match why {
-        Why::Silent => code::SILENT,
-        Why::Restarted => code::RESTARTED,
-        Why::Elsewhere => code::ELSEWHERE,
-        Why::NotReady => code::NOT_READY,
+fn code_of(reason: MissingReason) -> u32 {
+    match reason {
+        MissingReason::Silent => code::SILENT,
+        MissingReason::Restarted => code::RESTARTED,
+        MissingReason::Elsewhere => code::ELSEWHERE,
+        MissingReason::NotReady => code::NOT_READY,
     }
 }
 
@@ -241,17 +241,17 @@
     let lead = words.next().unwrap_or_default();
     let lead_start = words.next().and_then(|w| w.parse().ok());
     let host = words.next().unwrap_or_default();
-    let missing = |why| Verdict::Missing {
+    let missing = |reason| Verdict::Missing {
         host: SmolStr::new(host),
-        why,
+        reason,
     };
     let verdict = match item.code {
         code::WHOLE if item.serves => Verdict::Whole,
-        code::RESTARTED => missing(Why::Restarted),
-        code::ELSEWHERE => missing(Why::Elsewhere),
-        code::NOT_READY => missing(Why::NotReady),
+        code::RESTARTED => missing(MissingReason::Restarted),
+        code::ELSEWHERE => missing(MissingReason::Elsewhere),
+        code::NOT_READY => missing(MissingReason::NotReady),
         code::ENDING => Verdict::Ending,
-        _ => missing(Why::Silent),
+        _ => missing(MissingReason::Silent),
     };
     Finding {
         group: item.group.clone(),
--- a/crates/node/src/state/wholeness.rs
+++ b/crates/node/src/state/wholeness.rs
@@ -4,7 +4,7 @@
 use std::time::Instant;
 
 use eelgrassmill_base::{Epoch, GroupId, HostId, Incarnation, NodeId};
-use eelgrassmill_group::{Evidence, EvidenceStore, GroupRow, NotServing, ServingAs, Verdict};
+use eelgrassmill_group::{Evidence, EvidenceStore, GroupEndpoint, GroupRow, NotServing, Verdict};
 
 /// One watcher's last word on one group.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -112,7 +112,7 @@
         self.watchers.remove(watcher);
     }
 
-    pub(crate) fn serving(&self, group: &str, now: Instant) -> Result<ServingAs, NotServing> {
+    pub(crate) fn serving(&self, group: &str, now: Instant) -> Result<GroupEndpoint, NotServing> {
         self.store.serving(group, now)
     }
 
