--- a/crates/group/examples/repair/fleets.rs
+++ b/crates/group/examples/repair/fleets.rs
@@ -181,17 +181,17 @@
     /// Forms the groups with loads that take no time and no bound, and then the usual ones.
     fn form_at_once(&self, fake: &mut Fake) {
         let rates = fake.store;
-        let bounds = (fake.policy.max_loads, fake.policy.max_changes);
-        let choice = fake.policy.choice;
-        fake.policy.choice = eelgrassmill_group::RepairChoice::WaitForReturn;
+        let bounds = (fake.policy.max_loads, fake.policy.max_transactions);
+        let strategy = fake.policy.strategy;
+        fake.policy.strategy = eelgrassmill_group::RepairStrategy::WaitForReturn;
         fake.store.rate = u64::MAX / 1_000_000;
         fake.store.host_rate = fake.store.rate;
         fake.view.host_rate = 0;
-        (fake.policy.max_loads, fake.policy.max_changes) = (10_000, 10_000);
+        (fake.policy.max_loads, fake.policy.max_transactions) = (10_000, 10_000);
         fake.run(Duration::from_secs(20));
         fake.store = rates;
         fake.view.host_rate = rates.host_rate;
-        (fake.policy.max_loads, fake.policy.max_changes) = bounds;
-        fake.policy.choice = choice;
+        (fake.policy.max_loads, fake.policy.max_transactions) = bounds;
+        fake.policy.strategy = strategy;
     }
 }
--- a/crates/group/examples/repair/main.rs
+++ b/crates/group/examples/repair/main.rs
@@ -10,16 +10,16 @@
 use std::time::Duration;
 
 use eelgrassmill_config::RepairWeight;
-use eelgrassmill_group::{RepairChoice, RepairPolicy};
+use eelgrassmill_group::{RepairPolicy, RepairStrategy};
 
 use crate::fake::{Fake, STEP, Totals};
 use crate::fleets::Fleet;
 use crate::scripts::{Hit, Script};
 
-const CHOICES: [RepairChoice; 3] = [
-    RepairChoice::WaitForReturn,
-    RepairChoice::FirstSpare,
-    RepairChoice::Weighed,
+const STRATEGIES: [RepairStrategy; 3] = [
+    RepairStrategy::WaitForReturn,
+    RepairStrategy::FirstSpare,
+    RepairStrategy::CostBased,
 ];
 
 fn main() {
@@ -52,7 +52,7 @@
         "{:<34}{:>20}{:>20}{:>20}",
         "script", "wait-for-return", "first-spare", "weighed"
     );
-    let starts = at_once(|i| fleet.start(policy(CHOICES[i])));
+    let starts = at_once(|i| fleet.start(policy(STRATEGIES[i])));
     let mut sums = [Totals::default(); 3];
     let only = std::env::args().nth(2).unwrap_or_default();
     let scripts = scripts::scripts(fleet).into_iter();
@@ -93,8 +93,8 @@
     })
 }
 
-fn policy(choice: RepairChoice) -> RepairPolicy {
-    RepairPolicy::new(RepairWeight::Downtime).with_choice(choice)
+fn policy(strategy: RepairStrategy) -> RepairPolicy {
+    RepairPolicy::new(RepairWeight::Downtime).with_strategy(strategy)
 }
 
 fn play(start: &Fake, size: usize, script: &Script) -> Totals {
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -19,8 +19,8 @@
     TakeoverError, takeover,
 };
 pub use crate::plan::{
-    Absence, Action, FleetView, FreedBecause, GroupFacts, HostFacts, RepairChoice, RepairPolicy,
-    Return, ReturnModel, plan,
+    Action, FailureScope, FleetView, FreeReason, GroupStatus, HostStatus, Recovery, RecoveryModel,
+    RepairPolicy, RepairStrategy, plan,
 };
 pub use crate::rows::{
     Change, EndReason, Expect, GROUP_PREFIX, GroupPhase, GroupRow, HOST_PREFIX, HostRow,
--- a/crates/group/src/plan/action.rs
+++ b/crates/group/src/plan/action.rs
@@ -6,11 +6,11 @@
 
 value! { copy
     /// Why a host's row may be made free.
-    pub enum FreedBecause {
+    pub enum FreeReason {
         /// The host itself reports that it holds nothing and has obeyed the fence.
         Confirmed,
         /// No order that was allowed by the row can still be under way.
-        Outlived,
+        OrdersExpired,
     }
 }
 
@@ -21,14 +21,14 @@
     /// only between [`crate::HeldLease::check`] and [`crate::HeldLease::confirm`].
     pub enum Action {
         /// Bind free hosts to a group under a new epoch.
-        Form {
+        FormGroup {
             /// The group's new row.
             row: GroupRow,
             /// The transaction.
             change: Change,
         },
         /// Stop routing to a group and start to release its members.
-        BeginEnding {
+        EndGroup {
             /// The group.
             group: GroupId,
             /// Why.
@@ -41,7 +41,7 @@
             /// The host.
             host: HostId,
             /// What allows it.
-            because: FreedBecause,
+            reason: FreeReason,
             /// The transaction.
             change: Change,
         },
@@ -69,8 +69,8 @@
     /// The transaction, for actions that are one.
     pub fn change(&self) -> Option<&Change> {
         match self {
-            Action::Form { change, .. }
-            | Action::BeginEnding { change, .. }
+            Action::FormGroup { change, .. }
+            | Action::EndGroup { change, .. }
             | Action::FreeHost { change, .. }
             | Action::RemoveGroup { change, .. } => Some(change),
             Action::SendJoin { .. } | Action::SendLeave { .. } => None,
--- a/crates/group/src/plan/baseline.rs
+++ b/crates/group/src/plan/baseline.rs
@@ -4,7 +4,7 @@
 use crate::plan::group::Standing;
 use crate::plan::repair::{end, may_return, missing};
 use crate::plan::round::Round;
-use crate::plan::view::HostFacts;
+use crate::plan::view::HostStatus;
 use crate::rows::EndReason;
 
 /// The baseline that waits: ends a group only when its member can't come back.
@@ -35,7 +35,7 @@
         .into_iter()
         .flatten()
         .chain(far.flat_map(|(_, free)| free));
-    let hosts: Vec<&HostFacts> = all.copied().take(missing).collect();
+    let hosts: Vec<&HostStatus> = all.copied().take(missing).collect();
     if hosts.len() < missing {
         return;
     }
--- a/crates/group/src/plan/end.rs
+++ b/crates/group/src/plan/end.rs
@@ -2,7 +2,7 @@
 
 use crate::plan::action::Action;
 use crate::plan::round::Round;
-use crate::plan::view::GroupFacts;
+use crate::plan::view::GroupStatus;
 use crate::rows::{
     Change, EndReason, GroupPhase, GroupRow, HostRow, RowValue, group_key, host_key,
 };
@@ -32,7 +32,7 @@
 ///
 /// The fence of every member rises with it, so that a host that checks orders
 /// refuses a `Join` of this epoch that is still under way.
-pub(crate) fn end_group(round: &mut Round<'_>, group: &GroupFacts, reason: EndReason) -> bool {
+pub(crate) fn end_group(round: &mut Round<'_>, group: &GroupStatus, reason: EndReason) -> bool {
     if !round.may_change() || !group.is_live() {
         return false;
     }
@@ -62,7 +62,7 @@
             .expect(host_key(id), host.row_version)
             .put(host_key(id), RowValue::Host(raised));
     }
-    round.push_change(Action::BeginEnding {
+    round.push_change(Action::EndGroup {
         group: group.row.group.clone(),
         reason,
         change,
--- a/crates/group/src/plan/form.rs
+++ b/crates/group/src/plan/form.rs
@@ -7,9 +7,9 @@
 use crate::plan::action::Action;
 use crate::plan::end::is_reformed;
 use crate::plan::group::{Group, Standing, Wanted};
-use crate::plan::policy::RepairChoice;
+use crate::plan::policy::RepairStrategy;
 use crate::plan::round::Round;
-use crate::plan::view::HostFacts;
+use crate::plan::view::HostStatus;
 use crate::rows::{
     Change, GroupPhase, GroupRow, HostRow, RowValue, group_id, group_key, host_key, parse_group_id,
 };
@@ -19,7 +19,7 @@
     pub(crate) group: GroupId,
     pub(crate) row_version: RowVersion,
     pub(crate) phase: GroupPhase,
-    pub(crate) members: Vec<&'a HostFacts>,
+    pub(crate) members: Vec<&'a HostStatus>,
 }
 
 /// Forms groups again that were ended to be mended, from their own hosts and spares.
@@ -33,7 +33,7 @@
             let row = &group.facts.row;
             let age = round.now.saturating_duration_since(group.facts.since);
             let again = group.standing == Standing::Ending && is_reformed(row.reason);
-            if again && age < round.policy.reform_limit {
+            if again && age < round.policy.reform_timeout {
                 ended.push((group.lost.len(), service, index));
             }
         }
@@ -68,8 +68,8 @@
     }
 }
 
-fn is_empty(members: &[&HostFacts]) -> bool {
-    let empty = |h: &&HostFacts| h.report.as_ref().is_some_and(|r| r.placement.is_none());
+fn is_empty(members: &[&HostStatus]) -> bool {
+    let empty = |h: &&HostStatus| h.report.as_ref().is_some_and(|r| r.placement.is_none());
     members.iter().all(empty)
 }
 
@@ -78,28 +78,28 @@
     round: &Round<'a>,
     wanted: &Wanted<'a>,
     index: usize,
-) -> Option<Vec<&'a HostFacts>> {
+) -> Option<Vec<&'a HostStatus>> {
     let group = &wanted.groups[index];
     let size = wanted.cfg.hosts_per_group as usize;
     let row = &group.facts.row;
-    let own = |h: &HostFacts| {
+    let own = |h: &HostStatus| {
         let bound_here = h.is_bound_to(row);
         let free = h.row.group.is_none() && is_free(round, h);
         round.is_healthy(h) && (bound_here || free)
     };
     let members = row.members.iter().filter_map(|id| round.view.hosts.get(id));
-    let mut picked: Vec<&HostFacts> = members.filter(|h| own(h)).collect();
+    let mut picked: Vec<&HostStatus> = members.filter(|h| own(h)).collect();
     let missing = size.saturating_sub(picked.len());
     picked.extend(spares_for(round, wanted, group, missing));
     // A warm spare goes before a member that restarted and has to load anew.
-    if round.policy.choice == RepairChoice::Weighed {
+    if round.policy.strategy == RepairStrategy::CostBased {
         picked.sort_by_key(|h| !h.is_warm(&wanted.weights));
     }
     picked.truncate(size);
     (picked.len() == size).then_some(picked)
 }
 
-fn is_free(round: &Round<'_>, host: &HostFacts) -> bool {
+fn is_free(round: &Round<'_>, host: &HostStatus) -> bool {
     let domain = host.entry.as_ref().map(|e| &e.fabric_domain);
     let free = domain.and_then(|d| round.free.get(d));
     free.is_some_and(|f| {
@@ -115,16 +115,16 @@
     wanted: &Wanted<'a>,
     group: &Group<'a>,
     missing: usize,
-) -> Vec<&'a HostFacts> {
-    let foreign = |h: &&HostFacts| !group.facts.row.members.contains(&h.row.host);
+) -> Vec<&'a HostStatus> {
+    let foreign = |h: &&HostStatus| !group.facts.row.members.contains(&h.row.host);
     let near = group.domain.and_then(|d| round.free.get(d));
     let near = near.into_iter().flatten().copied();
-    let mut spares: Vec<&HostFacts> = near.filter(foreign).collect();
+    let mut spares: Vec<&HostStatus> = near.filter(foreign).collect();
     if spares.len() < missing {
         let far = round.free.iter().filter(|(d, _)| Some(**d) != group.domain);
         let far = far.flat_map(|(_, free)| free.iter().copied());
-        let mut far: Vec<&HostFacts> = far.filter(foreign).collect();
-        if round.policy.choice == RepairChoice::Weighed {
+        let mut far: Vec<&HostStatus> = far.filter(foreign).collect();
+        if round.policy.strategy == RepairStrategy::CostBased {
             sort_by_use(&mut far, wanted);
         }
         spares.extend(far.into_iter().take(missing - spares.len()));
@@ -133,7 +133,7 @@
 }
 
 /// Takes the hosts out of the free ones.
-pub(crate) fn keep(round: &mut Round<'_>, hosts: &[&HostFacts]) {
+pub(crate) fn keep(round: &mut Round<'_>, hosts: &[&HostStatus]) {
     for host in hosts {
         if let Some(entry) = &host.entry {
             round.reserve(&entry.fabric_domain, &[host]);
@@ -220,7 +220,7 @@
 }
 
 /// Groups of the service that share the host's failure domain.
-fn crowd(round: &Round<'_>, wanted: &Wanted<'_>, host: &HostFacts) -> usize {
+fn crowd(round: &Round<'_>, wanted: &Wanted<'_>, host: &HostStatus) -> usize {
     let place = host.entry.as_ref().map(|e| &e.failure_domain);
     let here = |id: &HostId| {
         let member = round.view.hosts.get(id).and_then(|h| h.entry.as_ref());
@@ -238,15 +238,15 @@
     wanted: &Wanted<'a>,
     domain: &FabricDomain,
     size: usize,
-) -> Vec<&'a HostFacts> {
-    let mut hosts: Vec<&HostFacts> = round.free.get(domain).cloned().unwrap_or_default();
+) -> Vec<&'a HostStatus> {
+    let mut hosts: Vec<&HostStatus> = round.free.get(domain).cloned().unwrap_or_default();
     sort_by_use(&mut hosts, wanted);
     hosts.truncate(size);
     hosts
 }
 
 /// Warm hosts first; of the cold ones those first that are of no use to another service.
-pub(crate) fn sort_by_use(hosts: &mut [&HostFacts], wanted: &Wanted<'_>) {
+pub(crate) fn sort_by_use(hosts: &mut [&HostStatus], wanted: &Wanted<'_>) {
     hosts.sort_by_key(|h| {
         let warm = h.report.as_ref().map_or(0, |r| r.warm.len());
         (!h.is_warm(&wanted.weights), warm)
@@ -257,19 +257,19 @@
 ///
 /// Such a group is slow. It is the last resort after the service has been short
 /// for a while, since hosts that come back may make a better one.
-fn span<'a>(round: &Round<'a>, wanted: &Wanted<'a>, size: usize) -> Option<Vec<&'a HostFacts>> {
+fn span<'a>(round: &Round<'a>, wanted: &Wanted<'a>, size: usize) -> Option<Vec<&'a HostStatus>> {
     let short = wanted.standing() < wanted.count;
     let since = |at: Instant| round.now.saturating_duration_since(at) >= round.policy.span_after;
     let waited = wanted
         .groups
         .iter()
         .all(|g| g.is_serving() || since(g.facts.down_since));
-    if !short || !waited || round.policy.choice != RepairChoice::Weighed {
+    if !short || !waited || round.policy.strategy != RepairStrategy::CostBased {
         return None;
     }
-    let mut domains: Vec<&Vec<&HostFacts>> = round.free.values().collect();
+    let mut domains: Vec<&Vec<&HostStatus>> = round.free.values().collect();
     domains.sort_by_key(|free| std::cmp::Reverse(free.len()));
-    let mut hosts: Vec<&HostFacts> = domains.into_iter().flatten().copied().collect();
+    let mut hosts: Vec<&HostStatus> = domains.into_iter().flatten().copied().collect();
     sort_by_use(&mut hosts, wanted);
     hosts.truncate(size);
     let settled = hosts.iter().all(|h| since(h.first_seen));
@@ -331,6 +331,6 @@
     }
     round.loading += cold;
     round.note_formed(service, &row);
-    round.push_change(Action::Form { row, change });
+    round.push_change(Action::FormGroup { row, change });
     true
 }
--- a/crates/group/src/plan/give.rs
+++ b/crates/group/src/plan/give.rs
@@ -5,8 +5,8 @@
 use crate::plan::end::end_group;
 use crate::plan::form::has_room;
 use crate::plan::group::{Group, Standing};
+use crate::plan::recovery::Recovery;
 use crate::plan::repair::{is_stuck, is_time};
-use crate::plan::returns::Return;
 use crate::plan::round::Round;
 use crate::rows::EndReason;
 
@@ -41,7 +41,7 @@
 /// Whether the group may be back before another one, ended for its sake, would have paid.
 fn is_recent(round: &Round<'_>, group: &Group<'_>) -> bool {
     let down = round.now.saturating_duration_since(group.facts.down_since);
-    !group.is_serving() && down < round.policy.yield_after
+    !group.is_serving() && down < round.policy.preempt_after
 }
 
 fn is_releasing(group: &Group<'_>) -> bool {
@@ -86,6 +86,11 @@
     let load = round.load_time(wanted.load_bytes, 1);
     let stranded = round.policy.weight == RepairWeight::Stranded
         && is_stuck(group)
-        && is_time(round, group, Return::Fit, round.policy.reform_time + load);
+        && is_time(
+            round,
+            group,
+            Recovery::Reusable,
+            round.policy.reform_time + load,
+        );
     above || stranded
 }
--- a/crates/group/src/plan/group.rs
+++ b/crates/group/src/plan/group.rs
@@ -5,7 +5,7 @@
 use smallvec::SmallVec;
 use smol_str::SmolStr;
 
-use crate::plan::view::GroupFacts;
+use crate::plan::view::GroupStatus;
 
 /// What is wrong with a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -36,7 +36,7 @@
 /// One group of a wanted service, as this round sees it.
 #[derive(Clone, Debug)]
 pub(crate) struct Group<'a> {
-    pub(crate) facts: &'a GroupFacts,
+    pub(crate) facts: &'a GroupStatus,
     /// Its fabric domain; `None` when it spans several or none is known.
     pub(crate) domain: Option<&'a FabricDomain>,
     pub(crate) standing: Standing,
--- a/crates/group/src/plan/join.rs
+++ b/crates/group/src/plan/join.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use crate::plan::group::Group;
+use crate::plan::recovery::Recovery;
 use crate::plan::repair::{end, is_stuck, is_time, may_return};
-use crate::plan::returns::Return;
 use crate::plan::round::Round;
 use crate::rows::EndReason;
 
@@ -51,7 +51,9 @@
         };
         let cost = round.policy.reform_time * 2 + load;
         for (index, group) in wanted.groups.iter().enumerate() {
-            if is_stuck(group) && (!may_return(group) || is_time(round, group, Return::Fit, cost)) {
+            if is_stuck(group)
+                && (!may_return(group) || is_time(round, group, Recovery::Reusable, cost))
+            {
                 let lost = group.lost.len();
                 let fit = group.facts.row.members.len() - lost;
                 found.push(Stuck {
--- a/crates/group/src/plan/mod.rs
+++ b/crates/group/src/plan/mod.rs
@@ -14,8 +14,8 @@
 mod group;
 mod join;
 mod policy;
+mod recovery;
 mod repair;
-mod returns;
 mod round;
 mod settle;
 mod shape;
@@ -24,10 +24,10 @@
 
 use std::time::Instant;
 
-pub use crate::plan::action::{Action, FreedBecause};
-pub use crate::plan::policy::{RepairChoice, RepairPolicy};
-pub use crate::plan::returns::{Absence, Return, ReturnModel};
-pub use crate::plan::view::{FleetView, GroupFacts, HostFacts};
+pub use crate::plan::action::{Action, FreeReason};
+pub use crate::plan::policy::{RepairPolicy, RepairStrategy};
+pub use crate::plan::recovery::{FailureScope, Recovery, RecoveryModel};
+pub use crate::plan::view::{FleetView, GroupStatus, HostStatus};
 
 use crate::plan::round::Round;
 
--- a/crates/group/src/plan/returns.rs
+++ b/crates/group/src/plan/recovery.rs
@@ -18,21 +18,21 @@
 
 value! { copy
     /// What went missing.
-    pub enum Absence {
+    pub enum FailureScope {
         /// One host, or a few.
-        Single,
+        Isolated,
         /// A large part of a fabric domain at once.
-        Together,
+        Correlated,
     }
 }
 
 value! { copy
     /// What a return is worth.
-    pub enum Return {
+    pub enum Recovery {
         /// The host still holds what it held, so its group is whole at once.
-        Whole,
+        Intact,
         /// The host is fit to be a member again, whether or not it holds anything.
-        Fit,
+        Reusable,
     }
 }
 
@@ -48,42 +48,42 @@
 /// back within seconds, those that restart within minutes, broken ones never,
 /// and which is usual differs from fleet to fleet.
 #[derive(Clone, Debug)]
-pub struct ReturnModel {
-    single: Returns,
-    together: Returns,
+pub struct RecoveryModel {
+    isolated: Recoveries,
+    correlated: Recoveries,
 }
 
 #[derive(Clone, Debug)]
-struct Returns {
-    whole: Histogram,
-    fit: Histogram,
+struct Recoveries {
+    intact: Histogram,
+    reusable: Histogram,
 }
 
-impl ReturnModel {
+impl RecoveryModel {
     /// Believes the prior only.
-    pub fn new() -> ReturnModel {
-        ReturnModel {
-            single: Returns::prior(),
-            together: Returns::prior(),
+    pub fn new() -> RecoveryModel {
+        RecoveryModel {
+            isolated: Recoveries::prior(),
+            correlated: Recoveries::prior(),
         }
     }
 
     /// Notes that an absence ended after `lasted`, in a return of this worth.
-    pub fn record(&mut self, absence: Absence, back: Return, lasted: Duration) {
-        let returns = self.of_mut(absence);
-        returns.fit.add(lasted);
-        match back {
-            Return::Whole => returns.whole.add(lasted),
+    pub fn record(&mut self, scope: FailureScope, recovery: Recovery, lasted: Duration) {
+        let recoveries = self.recoveries_mut(scope);
+        recoveries.reusable.add(lasted);
+        match recovery {
+            Recovery::Intact => recoveries.intact.add(lasted),
             // A host that comes back empty does not make its group whole again.
-            Return::Fit => returns.whole.add_never(),
+            Recovery::Reusable => recoveries.intact.add_never(),
         }
     }
 
     /// Notes that a host that was missing has left the host list.
-    pub fn record_never(&mut self, absence: Absence) {
-        let returns = self.of_mut(absence);
-        returns.fit.add_never();
-        returns.whole.add_never();
+    pub fn record_permanent(&mut self, scope: FailureScope) {
+        let recoveries = self.recoveries_mut(scope);
+        recoveries.reusable.add_never();
+        recoveries.intact.add_never();
     }
 
     /// How long after the start of an absence to act, if acting takes `cost` until the group
@@ -91,11 +91,16 @@
     ///
     /// The answer has the least expected downtime over all absences seen: those
     /// shorter than it cost themselves, the rest it plus `cost`.
-    pub fn act_after(&self, absence: Absence, back: Return, cost: Duration) -> Duration {
-        let returns = self.of(absence);
-        let histogram = match back {
-            Return::Whole => &returns.whole,
-            Return::Fit => &returns.fit,
+    pub fn optimal_wait(
+        &self,
+        scope: FailureScope,
+        recovery: Recovery,
+        cost: Duration,
+    ) -> Duration {
+        let recoveries = self.recoveries(scope);
+        let histogram = match recovery {
+            Recovery::Intact => &recoveries.intact,
+            Recovery::Reusable => &recoveries.reusable,
         };
         let cost_ms = millis(cost);
         let waits = std::iter::once(0).chain(BOUNDS_MS);
@@ -103,32 +108,32 @@
         Duration::from_millis(best.unwrap_or(0))
     }
 
-    fn of(&self, absence: Absence) -> &Returns {
-        match absence {
-            Absence::Single => &self.single,
-            Absence::Together => &self.together,
+    fn recoveries(&self, scope: FailureScope) -> &Recoveries {
+        match scope {
+            FailureScope::Isolated => &self.isolated,
+            FailureScope::Correlated => &self.correlated,
         }
     }
 
-    fn of_mut(&mut self, absence: Absence) -> &mut Returns {
-        match absence {
-            Absence::Single => &mut self.single,
-            Absence::Together => &mut self.together,
+    fn recoveries_mut(&mut self, scope: FailureScope) -> &mut Recoveries {
+        match scope {
+            FailureScope::Isolated => &mut self.isolated,
+            FailureScope::Correlated => &mut self.correlated,
         }
     }
 }
 
-impl Default for ReturnModel {
-    fn default() -> ReturnModel {
-        ReturnModel::new()
+impl Default for RecoveryModel {
+    fn default() -> RecoveryModel {
+        RecoveryModel::new()
     }
 }
 
-impl Returns {
-    fn prior() -> Returns {
-        Returns {
-            whole: Histogram::prior(),
-            fit: Histogram::prior(),
+impl Recoveries {
+    fn prior() -> Recoveries {
+        Recoveries {
+            intact: Histogram::prior(),
+            reusable: Histogram::prior(),
         }
     }
 }
--- a/crates/group/src/plan/repair.rs
+++ b/crates/group/src/plan/repair.rs
@@ -15,22 +15,22 @@
 use crate::plan::give::yield_to_need;
 use crate::plan::group::{Group, Lost, Standing, Wanted};
 use crate::plan::join::join_broken;
-use crate::plan::policy::RepairChoice;
-use crate::plan::returns::{Absence, Return};
+use crate::plan::policy::RepairStrategy;
+use crate::plan::recovery::{FailureScope, Recovery};
 use crate::plan::round::Round;
-use crate::plan::view::HostFacts;
+use crate::plan::view::HostStatus;
 use crate::rows::EndReason;
 
 /// Looks at every group that has lost a member.
 pub(crate) fn repair(round: &mut Round<'_>) {
     for (service, index) in damaged(round) {
-        match round.policy.choice {
-            RepairChoice::Weighed => weigh(round, service, index),
-            RepairChoice::WaitForReturn => wait_for_return(round, service, index),
-            RepairChoice::FirstSpare => first_spare(round, service, index),
+        match round.policy.strategy {
+            RepairStrategy::CostBased => weigh(round, service, index),
+            RepairStrategy::WaitForReturn => wait_for_return(round, service, index),
+            RepairStrategy::FirstSpare => first_spare(round, service, index),
         }
     }
-    if round.policy.choice == RepairChoice::Weighed {
+    if round.policy.strategy == RepairStrategy::CostBased {
         join_broken(round);
         borrow(round);
         yield_to_need(round);
@@ -105,7 +105,7 @@
 /// Their rows are freed within a few rounds. Swapping a member meanwhile would stop a
 /// group that serves, for the whole of its draining, where a replacement costs nothing.
 fn room_is_coming(round: &Round<'_>, wanted: &Wanted<'_>, domain: &FabricDomain) -> bool {
-    let released = |h: &&HostFacts| {
+    let released = |h: &&HostStatus| {
         let group = h.row.group.as_ref().and_then(|g| round.view.groups.get(g));
         let warmed = group.is_some_and(|g| g.row.reason == Some(EndReason::Warmed));
         let near = h.entry.as_ref().is_some_and(|e| e.fabric_domain == *domain);
@@ -131,7 +131,7 @@
         end(round, service, index, reason);
         return;
     }
-    let acts = beyond_return || is_time(round, group, Return::Whole, round.policy.reform_time);
+    let acts = beyond_return || is_time(round, group, Recovery::Intact, round.policy.reform_time);
     match spares(round, service, domain, missing) {
         Spares::Warm(hosts) => {
             round.reserve(domain, &hosts);
@@ -162,17 +162,26 @@
 
 /// Whether acting at `cost` now is expected to cost less downtime than waiting on for a
 /// return of this worth.
-pub(crate) fn is_time(round: &Round<'_>, group: &Group<'_>, back: Return, cost: Duration) -> bool {
-    let Some(absence) = absence(round, group) else {
+pub(crate) fn is_time(
+    round: &Round<'_>,
+    group: &Group<'_>,
+    recovery: Recovery,
+    cost: Duration,
+) -> bool {
+    let Some(scope) = scope(round, group) else {
         return true;
     };
-    silence(round, group) >= round.view.returns.act_after(absence, back, cost)
+    silence(round, group)
+        >= round
+            .view
+            .recovery_model
+            .optimal_wait(scope, recovery, cost)
 }
 
-fn absence(round: &Round<'_>, group: &Group<'_>) -> Option<Absence> {
+fn scope(round: &Round<'_>, group: &Group<'_>) -> Option<FailureScope> {
     let (host, _) = group.lost.first()?;
     let entry = round.view.hosts.get(*host)?.entry.as_ref()?;
-    Some(round.absence_in(&entry.fabric_domain))
+    Some(round.failure_scope_in(&entry.fabric_domain))
 }
 
 /// How long the member has been silent that was lost last.
@@ -188,9 +197,9 @@
 /// Spares of a fabric domain for one group.
 enum Spares<'a> {
     /// Enough that hold the weights.
-    Warm(Vec<&'a HostFacts>),
+    Warm(Vec<&'a HostStatus>),
     /// Enough, and these have to load first.
-    Cold(Vec<&'a HostFacts>),
+    Cold(Vec<&'a HostStatus>),
     /// Enough, of which the rest are loading already.
     Loading,
     TooFew,
@@ -203,7 +212,7 @@
     missing: usize,
 ) -> Spares<'a> {
     let wanted = &round.wanted[service];
-    let mut free: Vec<&HostFacts> = round.free.get(domain).cloned().unwrap_or_default();
+    let mut free: Vec<&HostStatus> = round.free.get(domain).cloned().unwrap_or_default();
     sort_by_use(&mut free, wanted);
     let warm = free.iter().filter(|h| h.is_warm(&wanted.weights)).count();
     if warm >= missing {
@@ -232,7 +241,7 @@
 }
 
 /// Keeps the hosts for the service and asks for those that are cold to be loaded.
-fn wish<'a>(round: &mut Round<'a>, service: usize, hosts: Vec<&'a HostFacts>) {
+fn wish<'a>(round: &mut Round<'a>, service: usize, hosts: Vec<&'a HostStatus>) {
     keep(round, &hosts);
     let weights = round.wanted[service].weights.clone();
     let cold = hosts.into_iter().filter(|h| !h.is_warm(&weights));
@@ -258,12 +267,12 @@
         let group = &wanted.groups[index];
         let size = group.facts.row.members.len();
         let ripe = !may_return(group)
-            || is_time(round, group, Return::Whole, round.policy.reform_time * 2);
+            || is_time(round, group, Recovery::Intact, round.policy.reform_time * 2);
         let lost = missing(group);
         if !is_stuck(group) || has_room(round, wanted) || lost == size || !ripe {
             continue;
         }
-        let mut far: Vec<&HostFacts> = round.free.values().flatten().copied().collect();
+        let mut far: Vec<&HostStatus> = round.free.values().flatten().copied().collect();
         sort_by_use(&mut far, wanted);
         far.truncate(lost);
         if far.len() < lost {
--- a/crates/group/src/plan/round.rs
+++ b/crates/group/src/plan/round.rs
@@ -10,17 +10,17 @@
 use crate::plan::action::Action;
 use crate::plan::group::{Group, Lost, Standing, Wanted};
 use crate::plan::policy::RepairPolicy;
-use crate::plan::returns::Absence;
-use crate::plan::view::{FleetView, GroupFacts, HostFacts, TOGETHER};
+use crate::plan::recovery::FailureScope;
+use crate::plan::view::{CORRELATED_HOSTS, FleetView, GroupStatus, HostStatus};
 use crate::rows::{EndReason, GroupPhase, GroupRow, parse_group_id, weights_name};
 
-type Members<'a> = SmallVec<[&'a HostFacts; 8]>;
+type Members<'a> = SmallVec<[&'a HostStatus; 8]>;
 
 /// Looks groups up by name, and remembers the last: neighbours in the order of names are
 /// mostly in one group.
 pub(crate) struct GroupFinder<'a> {
     view: &'a FleetView,
-    last: Option<&'a GroupFacts>,
+    last: Option<&'a GroupStatus>,
 }
 
 impl<'a> GroupFinder<'a> {
@@ -29,7 +29,7 @@
     }
 
     /// The group that the host's row names.
-    pub(crate) fn of(&mut self, host: &HostFacts) -> Option<&'a GroupFacts> {
+    pub(crate) fn of(&mut self, host: &HostStatus) -> Option<&'a GroupStatus> {
         let name = host.row.group.as_ref()?;
         if let Some(last) = self.last.filter(|last| last.row.group == *name) {
             return Some(last);
@@ -47,7 +47,7 @@
     pub(crate) actions: Vec<Action>,
     pub(crate) wanted: Vec<Wanted<'a>>,
     /// Hosts that may be taken, by fabric domain. Invariant: in order of their names.
-    pub(crate) free: BTreeMap<&'a FabricDomain, Vec<&'a HostFacts>>,
+    pub(crate) free: BTreeMap<&'a FabricDomain, Vec<&'a HostStatus>>,
     /// Hosts by the group that their rows name; most groups are indexed from here without a
     /// search for each member.
     bound: BTreeMap<&'a GroupId, Members<'a>>,
@@ -59,7 +59,7 @@
     /// Spares that load weights or are being released after it, by service and fabric domain.
     pub(crate) warming: BTreeMap<(&'a str, &'a FabricDomain), usize>,
     /// Spares that a broken group needs warm: the service's place in `wanted`, and the host.
-    pub(crate) wishes: Vec<(usize, &'a HostFacts)>,
+    pub(crate) wishes: Vec<(usize, &'a HostStatus)>,
     /// Groups formed by this round: the service's place in `wanted`, and the index.
     formed: Vec<(usize, u32)>,
     next_epoch: Epoch,
@@ -120,7 +120,7 @@
 
     /// Whether this round may write another transaction.
     pub(crate) fn may_change(&self) -> bool {
-        self.changes < self.policy.max_changes
+        self.changes < self.policy.max_transactions
     }
 
     /// Adds a transaction.
@@ -146,20 +146,20 @@
     }
 
     /// Whether the host answers, is listed as live and is not leaving.
-    pub(crate) fn is_healthy(&self, host: &HostFacts) -> bool {
+    pub(crate) fn is_healthy(&self, host: &HostStatus) -> bool {
         host.entry.is_some()
             && !host.is_leaving()
             && host.report.is_some()
-            && host.silent_for(self.now) <= self.policy.detect
+            && host.silent_for(self.now) <= self.policy.detection_timeout
     }
 
     /// What kind of absence the silence of a host of this fabric domain belongs to.
-    pub(crate) fn absence_in(&self, domain: &FabricDomain) -> Absence {
+    pub(crate) fn failure_scope_in(&self, domain: &FabricDomain) -> FailureScope {
         let silent = self.silent.get(domain).copied().unwrap_or(0);
-        if silent >= TOGETHER {
-            Absence::Together
+        if silent >= CORRELATED_HOSTS {
+            FailureScope::Correlated
         } else {
-            Absence::Single
+            FailureScope::Isolated
         }
     }
 
@@ -171,7 +171,7 @@
     }
 
     /// Takes hosts out of the free ones.
-    pub(crate) fn reserve(&mut self, domain: &FabricDomain, hosts: &[&HostFacts]) {
+    pub(crate) fn reserve(&mut self, domain: &FabricDomain, hosts: &[&HostStatus]) {
         if let Some(free) = self.free.get_mut(domain) {
             free.retain(|f| hosts.iter().all(|h| h.row.host != f.row.host));
         }
@@ -180,7 +180,7 @@
     /// Whether the group belongs to this region's planner.
     ///
     /// Without this two planners would release each other's groups.
-    pub(crate) fn is_ours(&self, group: &GroupFacts) -> bool {
+    pub(crate) fn is_ours(&self, group: &GroupStatus) -> bool {
         let listed = |id: &HostId| self.view.hosts.get(id).is_some_and(|h| h.entry.is_some());
         self.view.regions.len() <= 1 || group.row.members.iter().any(listed)
     }
@@ -202,7 +202,7 @@
                 }
             }
             if let Some(entry) = &host.entry
-                && host.silent_for(self.now) > self.policy.detect
+                && host.silent_for(self.now) > self.policy.detection_timeout
             {
                 *self.silent.entry(&entry.fabric_domain).or_default() += 1;
             }
@@ -221,7 +221,7 @@
     }
 
     /// The host of a name, from the group's own hosts where possible.
-    fn member(&self, bound: Option<&Members<'a>>, id: &HostId) -> Option<&'a HostFacts> {
+    fn member(&self, bound: Option<&Members<'a>>, id: &HostId) -> Option<&'a HostStatus> {
         let own = bound.and_then(|b| b.iter().copied().find(|h| h.row.host == *id));
         own.or_else(|| self.view.hosts.get(id))
     }
@@ -240,17 +240,17 @@
     }
 
     /// Whether the host loads weights, or will as soon as its order arrives.
-    fn is_loading(&self, host: &HostFacts, group: Option<&GroupFacts>) -> bool {
+    fn is_loading(&self, host: &HostStatus, group: Option<&GroupStatus>) -> bool {
         let Some(group) = group.filter(|g| g.is_live() && host.is_bound_to(&g.row)) else {
             return false;
         };
-        let answers = host.silent_for(self.now) <= self.policy.detect;
+        let answers = host.silent_for(self.now) <= self.policy.detection_timeout;
         answers && !group.served && !host.is_warm(&group.row.weights())
     }
 
     /// Whether the host may become a member: its row is free and it says itself that it holds
     /// nothing. A host that came back with an old placement has to leave that first.
-    fn is_takeable(&self, host: &HostFacts) -> bool {
+    fn is_takeable(&self, host: &HostStatus) -> bool {
         let empty = host.report.as_ref().is_some_and(|r| r.placement.is_none());
         let quiet = self.may_order(&host.row.host);
         host.row.group.is_none() && empty && quiet && self.is_healthy(host)
@@ -263,7 +263,7 @@
     }
 
     fn index_services(&self) -> Vec<Wanted<'a>> {
-        let mut groups: BTreeMap<&str, Vec<&'a GroupFacts>> = BTreeMap::new();
+        let mut groups: BTreeMap<&str, Vec<&'a GroupStatus>> = BTreeMap::new();
         for group in self.view.groups.values() {
             if parse_group_id(&group.row.group).is_some() && self.is_ours(group) {
                 groups.entry(&group.row.service).or_default().push(group);
@@ -307,7 +307,7 @@
         found.unwrap_or(0)
     }
 
-    fn index_group(&self, facts: &'a GroupFacts) -> Group<'a> {
+    fn index_group(&self, facts: &'a GroupStatus) -> Group<'a> {
         let mut lost = SmallVec::new();
         let mut domains: SmallVec<[&FabricDomain; 2]> = SmallVec::new();
         let bound = self.bound.get(&facts.row.group);
@@ -333,18 +333,19 @@
             facts,
             domain: (domains.len() == 1).then(|| domains[0]),
             standing,
-            known: self.now.saturating_duration_since(facts.up_since) >= self.policy.heard,
+            known: self.now.saturating_duration_since(facts.up_since)
+                >= self.policy.propagation_delay,
             lost,
             ended_now: false,
             mending: false,
         }
     }
 
-    fn lost(&self, group: &GroupFacts, id: &HostId, host: Option<&HostFacts>) -> Option<Lost> {
+    fn lost(&self, group: &GroupStatus, id: &HostId, host: Option<&HostStatus>) -> Option<Lost> {
         let Some(host) = host else {
             return Some(Lost::Gone);
         };
-        if host.silent_for(self.now) > self.policy.detect {
+        if host.silent_for(self.now) > self.policy.detection_timeout {
             let gone = host.entry.is_none();
             return Some(if gone { Lost::Gone } else { Lost::Silent });
         }
--- a/crates/group/src/plan/settle.rs
+++ b/crates/group/src/plan/settle.rs
@@ -2,10 +2,10 @@
 
 use eelgrassmill_base::{HostReport, Order, OrderKind, Placement};
 
-use crate::plan::action::{Action, FreedBecause};
+use crate::plan::action::{Action, FreeReason};
 use crate::plan::end;
 use crate::plan::round::{GroupFinder, Round};
-use crate::plan::view::{GroupFacts, HostFacts};
+use crate::plan::view::{GroupStatus, HostStatus};
 use crate::rows::{
     Change, EndReason, GroupPhase, GroupRow, HostRow, RowValue, group_key, host_key,
 };
@@ -24,13 +24,13 @@
     }
 }
 
-fn settle_host(round: &mut Round<'_>, host: &HostFacts, group: Option<&GroupFacts>) {
+fn settle_host(round: &mut Round<'_>, host: &HostStatus, group: Option<&GroupStatus>) {
     let ours = group.is_some_and(|g| round.is_ours(g));
     if host.entry.is_none() && !ours {
         return;
     }
     let live = group.filter(|g| g.is_live() && host.is_bound_to(&g.row));
-    let fresh = host.silent_for(round.now) <= round.policy.detect;
+    let fresh = host.silent_for(round.now) <= round.policy.detection_timeout;
     if let Some(report) = host.report.as_ref().filter(|_| fresh) {
         order(round, host, report, group, live);
     }
@@ -46,10 +46,10 @@
 /// compared with its row only, never taken from its own word.
 fn order(
     round: &mut Round<'_>,
-    host: &HostFacts,
+    host: &HostStatus,
     report: &HostReport,
-    group: Option<&GroupFacts>,
-    live: Option<&GroupFacts>,
+    group: Option<&GroupStatus>,
+    live: Option<&GroupStatus>,
 ) {
     let held = report.placement.as_ref();
     match (held, live) {
@@ -75,13 +75,13 @@
 }
 
 /// A bound host that checks orders must have seen the newest fence before it is free.
-fn must_raise_fence(round: &Round<'_>, host: &HostFacts, report: &HostReport) -> bool {
+fn must_raise_fence(round: &Round<'_>, host: &HostStatus, report: &HostReport) -> bool {
     host.row.group.is_some()
         && round.view.config.checks_orders(&host.row.host)
         && report.fence < host.row.fence
 }
 
-fn send(round: &mut Round<'_>, host: &HostFacts, kind: OrderKind, placement: Placement) {
+fn send(round: &mut Round<'_>, host: &HostStatus, kind: OrderKind, placement: Placement) {
     if !is_due(round, host, kind, &placement) {
         return;
     }
@@ -103,13 +103,13 @@
 
 /// Whether the order is new to the host, or was sent a while ago and an answer since shows no
 /// effect.
-fn is_due(round: &Round<'_>, host: &HostFacts, kind: OrderKind, placement: &Placement) -> bool {
+fn is_due(round: &Round<'_>, host: &HostStatus, kind: OrderKind, placement: &Placement) -> bool {
     let Some((last, epoch, at)) = host.order_sent else {
         return true;
     };
-    let waited = round.now.saturating_duration_since(at) >= round.policy.resend;
+    let waited = round.now.saturating_duration_since(at) >= round.policy.resend_interval;
     let same = last == kind && epoch == placement.epoch;
-    !same || (waited && host.answered > Some(at))
+    !same || (waited && host.probe_sent > Some(at))
 }
 
 fn placement_of(row: &GroupRow) -> Placement {
@@ -123,7 +123,7 @@
 }
 
 /// What a `Leave` names for a host that reports nothing: its row's group and epoch.
-fn last_placement(host: &HostFacts, group: Option<&GroupFacts>) -> Placement {
+fn last_placement(host: &HostStatus, group: Option<&GroupStatus>) -> Placement {
     let row = group.map(|g| &g.row);
     Placement {
         group: host.row.group.clone().unwrap_or_default(),
@@ -135,27 +135,27 @@
 }
 
 /// Whether the requests in progress of an ending group have ended or had their time.
-fn is_drained(round: &Round<'_>, group: &GroupFacts) -> bool {
+fn is_drained(round: &Round<'_>, group: &GroupStatus) -> bool {
     if group.is_live() || !end::is_planned(group.row.reason) || !group.served {
         return true;
     }
     let ending_for = round.now.saturating_duration_since(group.since);
     let idle = |id| {
-        let host: Option<&HostFacts> = round.view.hosts.get(id);
+        let host: Option<&HostStatus> = round.view.hosts.get(id);
         host.and_then(|h| h.report.as_ref())
             .is_none_or(|r| r.running == 0)
     };
     let all_idle = group.row.members.iter().all(idle);
-    ending_for >= round.policy.drain_most || (all_idle && ending_for >= round.policy.drain_least)
+    ending_for >= round.policy.max_drain || (all_idle && ending_for >= round.policy.min_drain)
 }
 
 /// Frees a host of a group that ended, when that is confirmed or outlived.
-fn release(round: &mut Round<'_>, host: &HostFacts, fresh: bool) {
-    let because = match host.report.as_ref() {
-        Some(report) if fresh => confirms(round, host, report).then_some(FreedBecause::Confirmed),
-        _ => is_outlived(round, host).then_some(FreedBecause::Outlived),
+fn release(round: &mut Round<'_>, host: &HostStatus, fresh: bool) {
+    let reason = match host.report.as_ref() {
+        Some(report) if fresh => confirms(round, host, report).then_some(FreeReason::Confirmed),
+        _ => is_outlived(round, host).then_some(FreeReason::OrdersExpired),
     };
-    let Some(because) = because.filter(|_| round.may_change()) else {
+    let Some(reason) = reason.filter(|_| round.may_change()) else {
         return;
     };
     let row = HostRow {
@@ -169,7 +169,7 @@
     let host = host.row.host.clone();
     round.push_change(Action::FreeHost {
         host,
-        because,
+        reason,
         change,
     });
 }
@@ -179,7 +179,7 @@
 /// A host that checks orders proves it by the fence that it has obeyed. For
 /// any other host a `Join` may still be under way behind an empty report;
 /// only an answer to a probe sent after the last `Join` has had its time counts.
-fn confirms(round: &Round<'_>, host: &HostFacts, report: &HostReport) -> bool {
+fn confirms(round: &Round<'_>, host: &HostStatus, report: &HostReport) -> bool {
     if report.placement.is_some() {
         return false;
     }
@@ -189,7 +189,7 @@
     let transit = round.policy.timing.order_transit;
     let own = host.join_sent.map(|at| at + transit);
     let settled = own.map_or(round.view.quiet_until, |at| at.max(round.view.quiet_until));
-    host.answered.is_some_and(|sent| sent >= settled)
+    host.probe_sent.is_some_and(|sent| sent >= settled)
 }
 
 /// Whether the host has been silent, and its group ended, for so long that nothing which the
@@ -197,14 +197,14 @@
 ///
 /// Beginning to end a group writes the row of every member, so the row's age is
 /// the time since then at most.
-fn is_outlived(round: &Round<'_>, host: &HostFacts) -> bool {
+fn is_outlived(round: &Round<'_>, host: &HostStatus) -> bool {
     let ended_for = round.now.saturating_duration_since(host.row_since);
     let needed = round.policy.timing.orders_expire_after();
     ended_for >= needed && host.silent_for(round.now) >= needed
 }
 
 /// Ends a group that has done its work or is in no configuration, and removes one that is over.
-fn settle_group(round: &mut Round<'_>, group: &GroupFacts) {
+fn settle_group(round: &mut Round<'_>, group: &GroupStatus) {
     match group.row.phase {
         GroupPhase::Ending => remove_if_over(round, group),
         GroupPhase::Warming => end_if_warm(round, group),
@@ -212,7 +212,7 @@
     }
 }
 
-fn end_if_warm(round: &mut Round<'_>, group: &GroupFacts) {
+fn end_if_warm(round: &mut Round<'_>, group: &GroupStatus) {
     let Some(host) = group
         .row
         .members
@@ -225,22 +225,22 @@
     let report = host.report.as_ref();
     let ready = report
         .is_some_and(|r| r.ready && r.placement.as_ref().is_some_and(|p| holds(p, &group.row)));
-    let late = round.now.saturating_duration_since(group.since) > round.policy.load_limit;
+    let late = round.now.saturating_duration_since(group.since) > round.policy.load_timeout;
     if ready || late || !round.is_healthy(host) {
         end::end_group(round, group, EndReason::Warmed);
     }
 }
 
 /// Deletes the row of a group that no service will form anew and that binds no host.
-fn remove_if_over(round: &mut Round<'_>, group: &GroupFacts) {
+fn remove_if_over(round: &mut Round<'_>, group: &GroupStatus) {
     let wanted = round.wanted.iter().any(|w| *w.name == group.row.service);
     let again = wanted && end::is_reformed(group.row.reason);
-    let waiting = round.now.saturating_duration_since(group.since) < round.policy.reform_limit;
+    let waiting = round.now.saturating_duration_since(group.since) < round.policy.reform_timeout;
     if (again && waiting) || !round.may_change() {
         return;
     }
     let bound = |id| {
-        let host: Option<&HostFacts> = round.view.hosts.get(id);
+        let host: Option<&HostStatus> = round.view.hosts.get(id);
         host.is_some_and(|h| h.row.group.as_ref() == Some(&group.row.group))
     };
     if group.row.members.iter().any(bound) {
--- a/crates/group/src/plan/shape.rs
+++ b/crates/group/src/plan/shape.rs
@@ -148,7 +148,7 @@
 fn comes_back(round: &Round<'_>, group: &Group<'_>) -> bool {
     let down = round.now.saturating_duration_since(group.facts.down_since);
     let unharmed = group.standing == Standing::Coming;
-    unharmed && group.facts.served && down <= round.policy.reform_limit
+    unharmed && group.facts.served && down <= round.policy.reform_timeout
 }
 
 /// How many groups may be between versions at once, less those that are.
--- a/crates/group/src/plan/view.rs
+++ b/crates/group/src/plan/view.rs
@@ -11,15 +11,15 @@
 use eelgrassmill_config::Config;
 use smol_str::SmolStr;
 
-use crate::plan::returns::{Absence, Return, ReturnModel};
+use crate::plan::recovery::{FailureScope, Recovery, RecoveryModel};
 use crate::rows::{GroupPhase, GroupRow, HostRow};
 
 /// So many silent hosts of one fabric domain count as one event that hit the domain.
-pub(crate) const TOGETHER: usize = 4;
+pub(crate) const CORRELATED_HOSTS: usize = 4;
 
 /// What is known of one host.
 #[derive(Clone, Debug)]
-pub struct HostFacts {
+pub struct HostStatus {
     /// Its line in the host list; `None` when the list doesn't have it.
     pub entry: Option<HostEntry>,
     /// Its row, or that of a host never bound.
@@ -31,7 +31,7 @@
     /// Its newest report.
     pub report: Option<HostReport>,
     /// When the probe was sent that the report answers.
-    pub answered: Option<Instant>,
+    pub probe_sent: Option<Instant>,
     /// When this view first heard of it.
     pub first_seen: Instant,
     /// When a `Join` was last sent to it by this planner.
@@ -42,7 +42,7 @@
 
 /// What is known of one group.
 #[derive(Clone, Debug)]
-pub struct GroupFacts {
+pub struct GroupStatus {
     /// Its row.
     pub row: GroupRow,
     /// The row's version.
@@ -77,9 +77,9 @@
     /// The accepted configuration.
     pub config: Arc<Config>,
     /// Hosts of the region, and others that a group of the region still binds.
-    pub hosts: BTreeMap<HostId, HostFacts>,
+    pub hosts: BTreeMap<HostId, HostStatus>,
     /// Groups by name.
-    pub groups: BTreeMap<GroupId, GroupFacts>,
+    pub groups: BTreeMap<GroupId, GroupStatus>,
     /// Groups that each service needs for its demand now.
     pub demand: BTreeMap<ServiceName, u32>,
     /// Size of each model version in the weight store, in bytes.
@@ -91,9 +91,9 @@
     /// Until when an order of the planner before may be under way; see [`crate::Takeover`].
     pub quiet_until: Instant,
     /// How long missing hosts stay away.
-    pub returns: ReturnModel,
+    pub recovery_model: RecoveryModel,
     /// Silence after which a host counts as missing.
-    pub detect: Duration,
+    pub detection_timeout: Duration,
 }
 
 impl FleetView {
@@ -116,8 +116,8 @@
             store_rate: 0,
             host_rate: 0,
             quiet_until,
-            returns: ReturnModel::new(),
-            detect: Duration::from_secs(2),
+            recovery_model: RecoveryModel::new(),
+            detection_timeout: Duration::from_secs(2),
         }
     }
 
@@ -155,7 +155,7 @@
 
     /// Takes a reading of a group's row.
     pub fn on_group_row(&mut self, row: &GroupRow, version: RowVersion, now: Instant) {
-        let fresh = || GroupFacts {
+        let fresh = || GroupStatus {
             row: row.clone(),
             row_version: version,
             since: now,
@@ -195,26 +195,26 @@
 
     /// Takes a host's answer to a probe that was sent at `sent`.
     pub fn on_report(&mut self, report: &HostReport, sent: Instant) {
-        let detect = self.detect;
+        let detection_timeout = self.detection_timeout;
         let Some(host) = self.hosts.get(&report.host) else {
             return;
         };
-        if host.answered.is_some_and(|known| known >= sent) {
+        if host.probe_sent.is_some_and(|known| known >= sent) {
             return;
         }
-        let away = host.answered.map(|known| sent.duration_since(known));
+        let away = host.probe_sent.map(|known| sent.duration_since(known));
         let known = host.report.as_ref().map(|r| r.incarnation);
-        if let Some(away) = away.filter(|away| *away > detect) {
-            let absence = self.absence_of(&report.host, sent);
-            let back = if known == Some(report.incarnation) {
-                Return::Whole
+        if let Some(away) = away.filter(|away| *away > detection_timeout) {
+            let scope = self.failure_scope(&report.host, sent);
+            let recovery = if known == Some(report.incarnation) {
+                Recovery::Intact
             } else {
-                Return::Fit
+                Recovery::Reusable
             };
-            self.returns.record(absence, back, away);
+            self.recovery_model.record(scope, recovery, away);
         }
         if let Some(host) = self.hosts.get_mut(&report.host) {
-            host.answered = Some(sent);
+            host.probe_sent = Some(sent);
             // Most reports repeat the one before.
             if host.report.as_ref() != Some(report) {
                 host.report = Some(report.clone());
@@ -265,30 +265,37 @@
     }
 
     /// What kind of absence a host's silence at `now` belongs to.
-    pub fn absence_of(&self, host: &str, now: Instant) -> Absence {
-        let domain = |h: &HostFacts| h.entry.as_ref().map(|e| e.fabric_domain.clone());
+    pub fn failure_scope(&self, host: &str, now: Instant) -> FailureScope {
+        let domain = |h: &HostStatus| h.entry.as_ref().map(|e| e.fabric_domain.clone());
         let Some(own) = self.hosts.get(host).and_then(domain) else {
-            return Absence::Single;
+            return FailureScope::Isolated;
         };
-        let silent = |h: &&HostFacts| {
+        let silent = |h: &&HostStatus| {
             h.entry.as_ref().is_some_and(|e| e.fabric_domain == own)
-                && h.silent_for(now) > self.detect
+                && h.silent_for(now) > self.detection_timeout
         };
-        if self.hosts.values().filter(silent).take(TOGETHER).count() == TOGETHER {
-            Absence::Together
+        if self
+            .hosts
+            .values()
+            .filter(silent)
+            .take(CORRELATED_HOSTS)
+            .count()
+            == CORRELATED_HOSTS
+        {
+            FailureScope::Correlated
         } else {
-            Absence::Single
+            FailureScope::Isolated
         }
     }
 
-    fn host_mut(&mut self, id: &HostId, now: Instant) -> &mut HostFacts {
-        let fresh = || HostFacts {
+    fn host_mut(&mut self, id: &HostId, now: Instant) -> &mut HostStatus {
+        let fresh = || HostStatus {
             entry: None,
             row: HostRow::new(id.clone()),
             row_version: 0,
             row_since: now,
             report: None,
-            answered: None,
+            probe_sent: None,
             first_seen: now,
             join_sent: None,
             order_sent: None,
@@ -297,23 +304,23 @@
     }
 
     fn drop_from_list(&mut self, id: &HostId, now: Instant) {
-        let absence = self.absence_of(id, now);
-        let detect = self.detect;
+        let scope = self.failure_scope(id, now);
+        let detection_timeout = self.detection_timeout;
         let Some(host) = self.hosts.get_mut(id) else {
             return;
         };
         let leaving = host.is_leaving();
         host.entry = None;
-        if host.silent_for(now) > detect && !leaving {
-            self.returns.record_never(absence);
+        if host.silent_for(now) > detection_timeout && !leaving {
+            self.recovery_model.record_permanent(scope);
         }
     }
 }
 
-impl HostFacts {
+impl HostStatus {
     /// How long it has not answered a probe.
     pub fn silent_for(&self, now: Instant) -> Duration {
-        now.saturating_duration_since(self.answered.unwrap_or(self.first_seen))
+        now.saturating_duration_since(self.probe_sent.unwrap_or(self.first_seen))
     }
 
     /// Whether the list or the host itself says that it is leaving.
@@ -335,7 +342,7 @@
     }
 }
 
-impl GroupFacts {
+impl GroupStatus {
     /// Whether its row binds hosts that may work, for serving or for loading.
     pub fn is_live(&self) -> bool {
         self.row.phase != GroupPhase::Ending
--- a/crates/group/src/plan/warm.rs
+++ b/crates/group/src/plan/warm.rs
@@ -3,15 +3,15 @@
 use eelgrassmill_base::FabricDomain;
 
 use crate::plan::form::{NewGroup, form};
-use crate::plan::policy::RepairChoice;
+use crate::plan::policy::RepairStrategy;
 use crate::plan::round::Round;
-use crate::plan::view::HostFacts;
+use crate::plan::view::HostStatus;
 use crate::rows::{GroupPhase, warming_group_id};
 
 /// Loads the spares that broken groups wait for and, while every group serves, idle ones
 /// where they mend most.
 pub(crate) fn warm_spares(round: &mut Round<'_>) {
-    if round.policy.choice != RepairChoice::Weighed {
+    if round.policy.strategy != RepairStrategy::CostBased {
         return;
     }
     for (service, host) in std::mem::take(&mut round.wishes) {
@@ -34,8 +34,8 @@
     if round.loading >= round.most_loads().div_ceil(2) {
         return;
     }
-    let free: Vec<&HostFacts> = round.free.get(domain).cloned().unwrap_or_default();
-    let is_useful = |h: &HostFacts| round.wanted.iter().any(|w| h.is_warm(&w.weights));
+    let free: Vec<&HostStatus> = round.free.get(domain).cloned().unwrap_or_default();
+    let is_useful = |h: &HostStatus| round.wanted.iter().any(|w| h.is_warm(&w.weights));
     let Some(host) = free.iter().copied().find(|h| !is_useful(h)) else {
         return;
     };
@@ -45,7 +45,7 @@
 }
 
 /// The service with the most members in the domain for each spare that is warm for it.
-fn least_covered(round: &Round<'_>, domain: &FabricDomain, free: &[&HostFacts]) -> Option<usize> {
+fn least_covered(round: &Round<'_>, domain: &FabricDomain, free: &[&HostStatus]) -> Option<usize> {
     let cover = |wanted: &crate::plan::group::Wanted<'_>| {
         let groups = wanted.groups.iter().filter(|g| g.is_formed());
         let here = groups.filter(|g| g.domain == Some(domain)).count();
@@ -60,7 +60,7 @@
         .map(|(_, i)| i)
 }
 
-fn warm(round: &mut Round<'_>, service: usize, host: &HostFacts) {
+fn warm(round: &mut Round<'_>, service: usize, host: &HostStatus) {
     let group = warming_group_id(round.wanted[service].name, &host.row.host);
     // A row of an earlier warming is removed first.
     if round.view.groups.contains_key(&group) {
--- a/crates/group/tests/plan.rs
+++ b/crates/group/tests/plan.rs
@@ -13,8 +13,8 @@
 
 use eelgrassmill_config::{Config, RepairWeight, ServiceKind};
 use eelgrassmill_group::{
-    Absence, Action, Change, EndReason, FreedBecause, GroupPhase, GroupRow, RepairPolicy, Return,
-    ReturnModel, RowValue,
+    Action, Change, EndReason, FailureScope, FreeReason, GroupPhase, GroupRow, Recovery,
+    RecoveryModel, RepairPolicy, RowValue,
 };
 use googletest::prelude::*;
 use smol_str::SmolStr;
@@ -157,7 +157,7 @@
 
 fn is_rollout(action: &Action) -> bool {
     let ended = |reason: &EndReason| matches!(reason, EndReason::Rollout | EndReason::Replaced);
-    matches!(action, Action::BeginEnding { reason, .. } if ended(reason))
+    matches!(action, Action::EndGroup { reason, .. } if ended(reason))
 }
 
 /// The planner is the first to know that a group serves; to the other nodes the news takes a
@@ -171,7 +171,7 @@
             RepairWeight::Downtime,
         );
         change(&mut fake, |c| model(c, "a").version = "2".into());
-        let known = fake.policy.heard;
+        let known = fake.policy.propagation_delay;
         let old = serving(&fake, "a")
             .into_iter()
             .map(|g| (g.epoch, fake.now - known));
@@ -365,27 +365,28 @@
 #[gtest]
 fn waiting_pays_as_long_as_hosts_have_come_back_soon() {
     let cost = 2 * SECOND;
-    let mut model = ReturnModel::new();
+    let mut model = RecoveryModel::new();
     for _ in 0..500 {
-        model.record(Absence::Single, Return::Whole, 5 * SECOND);
+        model.record(FailureScope::Isolated, Recovery::Intact, 5 * SECOND);
     }
-    let patient = model.act_after(Absence::Single, Return::Whole, cost);
+    let patient = model.optimal_wait(FailureScope::Isolated, Recovery::Intact, cost);
     expect_that!(patient, eq(Duration::ZERO), "5 s cost more than 2 s");
     expect_that!(
-        model.act_after(Absence::Single, Return::Whole, 9 * SECOND),
+        model.optimal_wait(FailureScope::Isolated, Recovery::Intact, 9 * SECOND),
         eq(6 * SECOND)
     );
     for _ in 0..1500 {
-        model.record_never(Absence::Single);
+        model.record_permanent(FailureScope::Isolated);
     }
     expect_that!(
-        model.act_after(Absence::Single, Return::Whole, 9 * SECOND),
+        model.optimal_wait(FailureScope::Isolated, Recovery::Intact, 9 * SECOND),
         eq(Duration::ZERO)
     );
     // What single hosts do says nothing of whole domains.
-    let fresh = ReturnModel::new().act_after(Absence::Together, Return::Whole, 9 * SECOND);
+    let fresh =
+        RecoveryModel::new().optimal_wait(FailureScope::Correlated, Recovery::Intact, 9 * SECOND);
     expect_that!(
-        model.act_after(Absence::Together, Return::Whole, 9 * SECOND),
+        model.optimal_wait(FailureScope::Correlated, Recovery::Intact, 9 * SECOND),
         eq(fresh)
     );
 }
@@ -402,9 +403,9 @@
     for _ in 0..60 {
         for action in fake.step() {
             match action {
-                Action::BeginEnding { .. } => ended = ended.or(Some(fake.now)),
-                Action::FreeHost { host, because, .. } if host == row.members[1] => {
-                    expect_that!(because, eq(FreedBecause::Outlived));
+                Action::EndGroup { .. } => ended = ended.or(Some(fake.now)),
+                Action::FreeHost { host, reason, .. } if host == row.members[1] => {
+                    expect_that!(reason, eq(FreeReason::OrdersExpired));
                     freed = Some(fake.now);
                 }
                 _ => {}
@@ -430,7 +431,7 @@
             }
             let actions = fake.step();
             for action in &actions {
-                let binds = matches!(action, Action::Form { .. } | Action::BeginEnding { .. });
+                let binds = matches!(action, Action::FormGroup { .. } | Action::EndGroup { .. });
                 let puts = action.change().filter(|_| binds).map(|c| &c.puts);
                 for put in puts.into_iter().flatten() {
                     if let RowValue::Host(row) = &put.value {
--- a/crates/node/src/loops/planner.rs
+++ b/crates/node/src/loops/planner.rs
@@ -7,8 +7,8 @@
 use eelgrassmill_base::{GroupId, HostEntry, HostState, NodeId, RowVersion};
 use eelgrassmill_config::ServiceKind;
 use eelgrassmill_group::{
-    Action, Change, FleetView, FreedBecause, GROUP_PREFIX, GroupFacts, GroupPhase, GroupRow,
-    HOST_PREFIX, HostFacts, HostRow, NodeState, ObservedPlanner, PlannerRow, RepairPolicy,
+    Action, Change, FleetView, FreeReason, GROUP_PREFIX, GroupPhase, GroupRow, GroupStatus,
+    HOST_PREFIX, HostRow, HostStatus, NodeState, ObservedPlanner, PlannerRow, RepairPolicy,
     RowValue, Takeover, node_key, plan, planner_key, takeover, weights_name,
 };
 use eelgrassmill_peer::PeerNode;
@@ -418,7 +418,7 @@
     fn note(&self, view: &FleetView, action: &Action) {
         let journal = &self.core.journal;
         match action {
-            Action::Form { row, .. } => {
+            Action::FormGroup { row, .. } => {
                 journal.note(EventKind::GroupForming {
                     group: row.group.clone(),
                     epoch: row.epoch,
@@ -433,7 +433,7 @@
                     });
                 }
             }
-            Action::BeginEnding { group, reason, .. } => {
+            Action::EndGroup { group, reason, .. } => {
                 let fleet = lock(&self.core.fleet);
                 let epoch = fleet.groups.get(group).map_or(0, |(row, _)| row.epoch);
                 journal.note(EventKind::GroupEnding {
@@ -442,12 +442,12 @@
                     reason: format_smolstr!("{reason:?}"),
                 });
             }
-            Action::FreeHost { host, because, .. } => journal.note(EventKind::HostFreed {
+            Action::FreeHost { host, reason, .. } => journal.note(EventKind::HostFreed {
                 host: host.clone(),
                 group: group_of(view, host),
-                reason: match because {
-                    FreedBecause::Confirmed => "its own report".into(),
-                    FreedBecause::Outlived => "outlived".into(),
+                reason: match reason {
+                    FreeReason::Confirmed => "its own report".into(),
+                    FreeReason::OrdersExpired => "outlived".into(),
                 },
             }),
             Action::RemoveGroup { .. } | Action::SendJoin { .. } | Action::SendLeave { .. } => {}
@@ -486,8 +486,8 @@
 
 /// Whether every group serves, and every host that a row names belongs to one.
 fn is_settled(view: &FleetView) -> bool {
-    let serves = |g: &GroupFacts| g.serving && g.row.phase == GroupPhase::Formed;
-    let belongs = |h: &HostFacts| {
+    let serves = |g: &GroupStatus| g.serving && g.row.phase == GroupPhase::Formed;
+    let belongs = |h: &HostStatus| {
         let group = h.row.group.as_ref();
         group.is_none_or(|g| view.groups.contains_key(g))
     };
