--- a/crates/group/examples/repair/fake.rs
+++ b/crates/group/examples/repair/fake.rs
@@ -9,8 +9,8 @@
 };
 use eelgrassmill_config::Config;
 use eelgrassmill_group::{
-    Action, Change, FleetView, GroupPhase, GroupRow, GroupWatch, MissingReason, RepairPolicy,
-    RowValue, Verdict, plan, weights_name,
+    Action, FleetView, GroupPhase, GroupRow, GroupWatch, MissingReason, RepairPolicy, RowValue,
+    Transaction, Verdict, plan, weights_name,
 };
 use smol_str::{SmolStr, format_smolstr};
 
@@ -262,9 +262,9 @@
     /// Seconds in which healthy accelerators that a group lacked were idle, summed over them.
     pub(crate) stranded: f64,
     /// Transactions committed.
-    pub(crate) changes: u64,
+    pub(crate) transactions: u64,
     /// Most transactions in one round.
-    pub(crate) most_changes: u64,
+    pub(crate) max_transactions: u64,
     /// Most hosts that loaded at once.
     pub(crate) most_loads: u64,
 }
@@ -274,8 +274,8 @@
     pub(crate) fn add(&mut self, run: &Totals) {
         self.downtime += run.downtime;
         self.stranded += run.stranded;
-        self.changes += run.changes;
-        self.most_changes = self.most_changes.max(run.most_changes);
+        self.transactions += run.transactions;
+        self.max_transactions = self.max_transactions.max(run.max_transactions);
         self.most_loads = self.most_loads.max(run.most_loads);
     }
 }
@@ -464,18 +464,18 @@
     }
 
     pub(crate) fn carry_out(&mut self, actions: &[Action]) {
-        let mut changes = 0;
+        let mut transactions = 0;
         for action in actions {
-            if let Some(change) = action.change() {
-                assert!(self.commit(change), "conflict in {action:?}");
-                changes += 1;
+            if let Some(transaction) = action.transaction() {
+                assert!(self.commit(transaction), "conflict in {action:?}");
+                transactions += 1;
             }
             if let Some(order) = action.order() {
                 self.send(order);
             }
         }
-        self.totals.changes += changes;
-        self.totals.most_changes = self.totals.most_changes.max(changes);
+        self.totals.transactions += transactions;
+        self.totals.max_transactions = self.totals.max_transactions.max(transactions);
     }
 
     pub(crate) fn send(&mut self, order: &Order) {
@@ -508,15 +508,19 @@
     }
 
     /// Commits a change if all its expectations hold.
-    pub(crate) fn commit(&mut self, change: &Change) -> bool {
+    pub(crate) fn commit(&mut self, transaction: &Transaction) -> bool {
         let version = |key: &SmolStr| match self.rows.get(key) {
             None | Some((_, RowValue::Absent)) => 0,
             Some((version, _)) => *version,
         };
-        if change.expect.iter().any(|e| version(&e.key) != e.version) {
+        if transaction
+            .expect
+            .iter()
+            .any(|e| version(&e.key) != e.version)
+        {
             return false;
         }
-        for put in &change.puts {
+        for put in &transaction.puts {
             let row = self
                 .rows
                 .entry(put.key.clone())
--- a/crates/group/examples/repair/main.rs
+++ b/crates/group/examples/repair/main.rs
@@ -75,7 +75,7 @@
          in a round {}, most loads at once {}",
         ours.downtime / wait.downtime,
         ours.downtime / spare.downtime,
-        ours.most_changes,
+        ours.max_transactions,
         ours.most_loads
     );
 }
--- a/crates/group/src/lease/takeover.rs
+++ b/crates/group/src/lease/takeover.rs
@@ -5,7 +5,7 @@
 use eelgrassmill_base::{RowVersion, value};
 
 use crate::lease::LeaseObserver;
-use crate::rows::{Change, NodeRow, NodeState, PlannerRow, RowValue, node_key, planner_key};
+use crate::rows::{NodeRow, NodeState, PlannerRow, RowValue, Transaction, node_key, planner_key};
 
 value! {
     /// What a node has read of its region's planner.
@@ -21,7 +21,7 @@
     /// A transaction that makes this node the planner, and what it must do after it.
     pub struct Takeover {
         /// The transaction.
-        pub change: Change,
+        pub transaction: Transaction,
         /// How long after it an order of the planner before may still be under way.
         ///
         /// Until then the new planner orders only hosts that check fencing
@@ -61,9 +61,9 @@
         return Err(TakeoverError::Leaving);
     }
     let planner = planner_key(&own.region);
-    let base = Change::new().expect(node_key(&own.node), own_version);
+    let base = Transaction::new().expect(node_key(&own.node), own_version);
     let timing = observer.timing();
-    let (change, quiet_period) = match &seen.planner {
+    let (transaction, quiet_period) = match &seen.planner {
         // Whoever gives the region up does so after its last order was answered or failed.
         None => (base.expect(planner.clone(), 0), timing.order_transit),
         Some((row, _)) if row.node == own.node && row.incarnation == own.incarnation => {
@@ -79,18 +79,18 @@
         incarnation: own.incarnation,
     });
     Ok(Takeover {
-        change: change.put(planner, value),
+        transaction: transaction.put(planner, value),
         quiet_period,
     })
 }
 
 fn unseat(
-    base: Change,
+    base: Transaction,
     own: &NodeRow,
     planner: &PlannerRow,
     holder: Option<&(NodeRow, RowVersion)>,
     observer: &LeaseObserver,
-) -> Result<(Change, Duration), TakeoverError> {
+) -> Result<(Transaction, Duration), TakeoverError> {
     // Without a lapse that was seen, the holder may believe in its lease for the whole term.
     let unseen = observer.timing().orders_expire_after();
     let key = node_key(&planner.node);
@@ -109,8 +109,8 @@
     if !observer.has_expired(&planner.node, *version) {
         return Err(TakeoverError::HolderMayBeActive);
     }
-    let change = base
+    let transaction = base
         .expect(key.clone(), *version)
         .put(key, RowValue::Absent);
-    Ok((change, observer.timing().order_transit))
+    Ok((transaction, observer.timing().order_transit))
 }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -23,7 +23,7 @@
     RepairPolicy, RepairStrategy, plan,
 };
 pub use crate::rows::{
-    Change, EndReason, Expect, GROUP_PREFIX, GroupPhase, GroupRow, HOST_PREFIX, HostRow,
-    NODE_PREFIX, NodeRow, NodeState, PLANNER_PREFIX, PlannerRow, Put, RowValue, group_id,
+    EndReason, GROUP_PREFIX, GroupPhase, GroupRow, HOST_PREFIX, HostRow, NODE_PREFIX, NodeRow,
+    NodeState, PLANNER_PREFIX, PlannerRow, Precondition, Put, RowValue, Transaction, group_id,
     group_key, host_key, node_key, parse_group_id, planner_key, warming_group_id, weights_name,
 };
--- a/crates/group/src/plan/action.rs
+++ b/crates/group/src/plan/action.rs
@@ -2,7 +2,7 @@
 
 use eelgrassmill_base::{GroupId, HostId, Order, RowVersion, value};
 
-use crate::rows::{Change, EndReason, GroupRow, node_key, planner_key};
+use crate::rows::{EndReason, GroupRow, Transaction, node_key, planner_key};
 
 value! { copy
     /// Why a host's row may be made free.
@@ -17,7 +17,7 @@
 value! {
     /// One thing that the planner wants done.
     ///
-    /// Changes are committed only after [`Change::under_lease`]; orders are sent
+    /// Changes are committed only after [`Transaction::under_lease`]; orders are sent
     /// only between [`crate::HeldLease::check`] and [`crate::HeldLease::confirm`].
     pub enum Action {
         /// Bind free hosts to a group under a new epoch.
@@ -25,7 +25,7 @@
             /// The group's new row.
             row: GroupRow,
             /// The transaction.
-            change: Change,
+            transaction: Transaction,
         },
         /// Stop routing to a group and start to release its members.
         EndGroup {
@@ -34,7 +34,7 @@
             /// Why.
             reason: EndReason,
             /// The transaction.
-            change: Change,
+            transaction: Transaction,
         },
         /// Make a host's row free.
         FreeHost {
@@ -43,14 +43,14 @@
             /// What allows it.
             reason: FreeReason,
             /// The transaction.
-            change: Change,
+            transaction: Transaction,
         },
         /// Delete the row of a group that has ended and holds no host.
         RemoveGroup {
             /// The group.
             group: GroupId,
             /// The transaction.
-            change: Change,
+            transaction: Transaction,
         },
         /// Tell a host to join its group; repeated until its report shows it.
         SendJoin {
@@ -67,12 +67,12 @@
 
 impl Action {
     /// The transaction, for actions that are one.
-    pub fn change(&self) -> Option<&Change> {
+    pub fn transaction(&self) -> Option<&Transaction> {
         match self {
-            Action::FormGroup { change, .. }
-            | Action::EndGroup { change, .. }
-            | Action::FreeHost { change, .. }
-            | Action::RemoveGroup { change, .. } => Some(change),
+            Action::FormGroup { transaction, .. }
+            | Action::EndGroup { transaction, .. }
+            | Action::FreeHost { transaction, .. }
+            | Action::RemoveGroup { transaction, .. } => Some(transaction),
             Action::SendJoin { .. } | Action::SendLeave { .. } => None,
         }
     }
@@ -86,7 +86,7 @@
     }
 }
 
-impl Change {
+impl Transaction {
     /// Makes the change conditional on the planner's lease row and planner row.
     ///
     /// Added at the last moment and not by the plan, since the lease row's
@@ -98,7 +98,7 @@
         node_version: RowVersion,
         region: &str,
         planner_version: RowVersion,
-    ) -> Change {
+    ) -> Transaction {
         self.expect(node_key(node), node_version)
             .expect(planner_key(region), planner_version)
     }
--- a/crates/group/src/plan/end.rs
+++ b/crates/group/src/plan/end.rs
@@ -4,7 +4,7 @@
 use crate::plan::round::Round;
 use crate::plan::view::GroupStatus;
 use crate::rows::{
-    Change, EndReason, GroupPhase, GroupRow, HostRow, RowValue, group_key, host_key,
+    EndReason, GroupPhase, GroupRow, HostRow, RowValue, Transaction, group_key, host_key,
 };
 
 /// Whether the group could serve when it was ended, so that requests in progress matter.
@@ -33,7 +33,7 @@
 /// The fence of every member rises with it, so that a host that checks orders
 /// refuses a `Join` of this epoch that is still under way.
 pub(crate) fn end_group(round: &mut Round<'_>, group: &GroupStatus, reason: EndReason) -> bool {
-    if !round.may_change() || !group.is_live() {
+    if !round.may_commit() || !group.is_live() {
         return false;
     }
     let row = GroupRow {
@@ -42,7 +42,7 @@
         ..group.row.clone()
     };
     let key = group_key(&row.group);
-    let mut change = Change::new()
+    let mut transaction = Transaction::new()
         .expect(key.clone(), group.row_version)
         .put(key, RowValue::Group(row));
     for id in &group.row.members {
@@ -58,14 +58,14 @@
             fence: host.row.fence + 1,
             ..host.row.clone()
         };
-        change = change
+        transaction = transaction
             .expect(host_key(id), host.row_version)
             .put(host_key(id), RowValue::Host(raised));
     }
-    round.push_change(Action::EndGroup {
+    round.push_transaction(Action::EndGroup {
         group: group.row.group.clone(),
         reason,
-        change,
+        transaction,
     });
     true
 }
--- a/crates/group/src/plan/form.rs
+++ b/crates/group/src/plan/form.rs
@@ -11,7 +11,8 @@
 use crate::plan::round::Round;
 use crate::plan::view::HostStatus;
 use crate::rows::{
-    Change, GroupPhase, GroupRow, HostRow, RowValue, group_id, group_key, host_key, parse_group_id,
+    GroupPhase, GroupRow, HostRow, RowValue, Transaction, group_id, group_key, host_key,
+    parse_group_id,
 };
 
 /// A group to be formed.
@@ -147,7 +148,7 @@
 /// an old version don't count, so a replacement is made before they are ended.
 pub(crate) fn form_missing(round: &mut Round<'_>) {
     for service in by_need(round) {
-        while round.may_change() {
+        while round.may_commit() {
             let wanted = &round.wanted[service];
             if wanted.expected() >= wanted.count || !form_one(round, service) {
                 break;
@@ -298,7 +299,7 @@
 pub(crate) fn form(round: &mut Round<'_>, service: usize, new: NewGroup<'_>) -> bool {
     let weights = round.wanted[service].weights.clone();
     let cold = new.members.iter().filter(|h| !h.is_warm(&weights)).count();
-    if !round.may_change() || !round.may_load(cold) {
+    if !round.may_commit() || !round.may_load(cold) {
         return false;
     }
     let epoch = round.take_epoch();
@@ -314,7 +315,7 @@
         reason: None,
     };
     let key = group_key(&row.group);
-    let mut change = Change::new()
+    let mut transaction = Transaction::new()
         .expect(key.clone(), new.row_version)
         .put(key, RowValue::Group(row.clone()));
     for host in &new.members {
@@ -325,12 +326,12 @@
             epoch,
             fence: host.row.fence + 1,
         };
-        change = change
+        transaction = transaction
             .expect(key.clone(), host.row_version)
             .put(key, RowValue::Host(bound));
     }
     round.loading += cold;
     round.note_formed(service, &row);
-    round.push_change(Action::FormGroup { row, change });
+    round.push_transaction(Action::FormGroup { row, transaction });
     true
 }
--- a/crates/group/src/plan/round.rs
+++ b/crates/group/src/plan/round.rs
@@ -55,7 +55,7 @@
     silent: BTreeMap<&'a FabricDomain, usize>,
     /// Hosts loading now or ordered to by this round.
     pub(crate) loading: usize,
-    pub(crate) changes: usize,
+    pub(crate) transactions: usize,
     /// Spares that load weights or are being released after it, by service and fabric domain.
     pub(crate) warming: BTreeMap<(&'a str, &'a FabricDomain), usize>,
     /// Spares that a broken group needs warm: the service's place in `wanted`, and the host.
@@ -77,7 +77,7 @@
             bound: BTreeMap::new(),
             silent: BTreeMap::new(),
             loading: 0,
-            changes: 0,
+            transactions: 0,
             warming: BTreeMap::new(),
             wishes: Vec::new(),
             formed: Vec::new(),
@@ -119,13 +119,13 @@
     }
 
     /// Whether this round may write another transaction.
-    pub(crate) fn may_change(&self) -> bool {
-        self.changes < self.policy.max_transactions
+    pub(crate) fn may_commit(&self) -> bool {
+        self.transactions < self.policy.max_transactions
     }
 
     /// Adds a transaction.
-    pub(crate) fn push_change(&mut self, action: Action) {
-        self.changes += 1;
+    pub(crate) fn push_transaction(&mut self, action: Action) {
+        self.transactions += 1;
         self.actions.push(action);
     }
 
--- a/crates/group/src/plan/settle.rs
+++ b/crates/group/src/plan/settle.rs
@@ -7,7 +7,7 @@
 use crate::plan::round::{GroupFinder, Round};
 use crate::plan::view::{GroupStatus, HostStatus};
 use crate::rows::{
-    Change, EndReason, GroupPhase, GroupRow, HostRow, RowValue, group_key, host_key,
+    EndReason, GroupPhase, GroupRow, HostRow, RowValue, Transaction, group_key, host_key,
 };
 
 /// Sends what hosts have yet to obey, frees what has been released, and removes what is over.
@@ -155,7 +155,7 @@
         Some(report) if fresh => confirms(round, host, report).then_some(FreeReason::Confirmed),
         _ => is_outlived(round, host).then_some(FreeReason::OrdersExpired),
     };
-    let Some(reason) = reason.filter(|_| round.may_change()) else {
+    let Some(reason) = reason.filter(|_| round.may_commit()) else {
         return;
     };
     let row = HostRow {
@@ -163,14 +163,14 @@
         ..host.row.clone()
     };
     let key = host_key(&host.row.host);
-    let change = Change::new()
+    let transaction = Transaction::new()
         .expect(key.clone(), host.row_version)
         .put(key, RowValue::Host(row));
     let host = host.row.host.clone();
-    round.push_change(Action::FreeHost {
+    round.push_transaction(Action::FreeHost {
         host,
         reason,
-        change,
+        transaction,
     });
 }
 
@@ -236,7 +236,7 @@
     let wanted = round.wanted.iter().any(|w| *w.name == group.row.service);
     let again = wanted && end::is_reformed(group.row.reason);
     let waiting = round.now.saturating_duration_since(group.since) < round.policy.reform_timeout;
-    if (again && waiting) || !round.may_change() {
+    if (again && waiting) || !round.may_commit() {
         return;
     }
     let bound = |id| {
@@ -247,11 +247,11 @@
         return;
     }
     let key = group_key(&group.row.group);
-    let change = Change::new()
+    let transaction = Transaction::new()
         .expect(key.clone(), group.row_version)
         .put(key, RowValue::Absent);
-    round.push_change(Action::RemoveGroup {
+    round.push_transaction(Action::RemoveGroup {
         group: group.row.group.clone(),
-        change,
+        transaction,
     });
 }
--- a/crates/group/src/rows.rs
+++ b/crates/group/src/rows.rs
@@ -153,7 +153,7 @@
     }
 
     /// What a row must be for a change to happen.
-    pub struct Expect {
+    pub struct Precondition {
         /// The row's key.
         pub key: SmolStr,
         /// The version it must have; 0 for absent.
@@ -169,9 +169,9 @@
     }
 
     /// One transaction: all writes are made when all expectations hold, or none.
-    pub struct Change {
+    pub struct Transaction {
         /// What the rows must be.
-        pub expect: Vec<Expect>,
+        pub expect: Vec<Precondition>,
         /// What is written.
         pub puts: Vec<Put>,
     }
@@ -201,33 +201,33 @@
     }
 }
 
-impl Change {
+impl Transaction {
     /// A change that expects and writes nothing yet.
-    pub fn new() -> Change {
-        Change {
+    pub fn new() -> Transaction {
+        Transaction {
             expect: Vec::new(),
             puts: Vec::new(),
         }
     }
 
     /// Adds an expectation.
-    pub fn expect(mut self, key: impl Into<SmolStr>, version: RowVersion) -> Change {
+    pub fn expect(mut self, key: impl Into<SmolStr>, version: RowVersion) -> Transaction {
         let key = key.into();
-        self.expect.push(Expect { key, version });
+        self.expect.push(Precondition { key, version });
         self
     }
 
     /// Adds a write.
-    pub fn put(mut self, key: impl Into<SmolStr>, value: RowValue) -> Change {
+    pub fn put(mut self, key: impl Into<SmolStr>, value: RowValue) -> Transaction {
         let key = key.into();
         self.puts.push(Put { key, value });
         self
     }
 }
 
-impl Default for Change {
-    fn default() -> Change {
-        Change::new()
+impl Default for Transaction {
+    fn default() -> Transaction {
+        Transaction::new()
     }
 }
 
--- a/crates/group/tests/lease.rs
+++ b/crates/group/tests/lease.rs
@@ -130,7 +130,7 @@
     }
     let step = takeover(&own, 2, &seen, &observer).expect("the lease has lapsed");
     let expected: Vec<_> = step
-        .change
+        .transaction
         .expect
         .iter()
         .map(|e| (e.key.clone(), e.version))
@@ -144,7 +144,11 @@
         expected,
         unordered_elements_are![eq(&keys[0]), eq(&keys[1]), eq(&keys[2])]
     );
-    let deleted = step.change.puts.iter().find(|p| p.key == node_key("n1"));
+    let deleted = step
+        .transaction
+        .puts
+        .iter()
+        .find(|p| p.key == node_key("n1"));
     expect_that!(deleted.map(|p| &p.value), some(eq(&RowValue::Absent)));
     expect_that!(step.quiet_period, eq(timing.order_transit));
 }
--- a/crates/group/tests/plan.rs
+++ b/crates/group/tests/plan.rs
@@ -13,8 +13,8 @@
 
 use eelgrassmill_config::{Config, RepairWeight, ServiceKind};
 use eelgrassmill_group::{
-    Action, Change, EndReason, FailureScope, FreeReason, GroupPhase, GroupRow, Recovery,
-    RecoveryModel, RepairPolicy, RowValue,
+    Action, EndReason, FailureScope, FreeReason, GroupPhase, GroupRow, Recovery, RecoveryModel,
+    RepairPolicy, RowValue, Transaction,
 };
 use googletest::prelude::*;
 use smol_str::SmolStr;
@@ -51,7 +51,7 @@
     fake
 }
 
-fn change(fake: &mut Fake, change: impl FnOnce(&mut Config)) {
+fn reconfigure(fake: &mut Fake, change: impl FnOnce(&mut Config)) {
     let mut config = (*fake.view.config).clone();
     change(&mut config);
     fake.view.config = Arc::new(config);
@@ -112,7 +112,7 @@
 #[gtest]
 fn a_rollout_with_room_loses_no_capacity() {
     let mut fake = fake(&[("a", 3, 2, 2)], &[(0, 5), (1, 5)], RepairWeight::Downtime);
-    change(&mut fake, |c| model(c, "a").version = "2".into());
+    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
     let least = least_serving(&mut fake, "a", 300 * SECOND);
     expect_that!(least, ge(3));
     expect_true!(serving(&fake, "a").iter().all(|g| g.version == "2"));
@@ -123,7 +123,7 @@
 #[gtest]
 fn a_rollout_without_room_keeps_the_floor() {
     let mut fake = fake(&[("a", 4, 2, 3)], &[(0, 4), (1, 4)], RepairWeight::Downtime);
-    change(&mut fake, |c| model(c, "a").version = "2".into());
+    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
     let least = least_serving(&mut fake, "a", 300 * SECOND);
     expect_that!(least, eq(3));
     let rows = serving(&fake, "a");
@@ -137,7 +137,7 @@
 #[gtest]
 fn a_moment_of_silence_does_not_end_the_last_group_of_a_rollout() {
     let mut fake = fake(&[("a", 2, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
-    change(&mut fake, |c| model(c, "a").version = "2".into());
+    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
     while serving(&fake, "a").len() == 2 {
         fake.step();
     }
@@ -170,7 +170,7 @@
             &[(0, hosts)],
             RepairWeight::Downtime,
         );
-        change(&mut fake, |c| model(c, "a").version = "2".into());
+        reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
         let known = fake.policy.propagation_delay;
         let old = serving(&fake, "a")
             .into_iter()
@@ -205,7 +205,7 @@
     host.placement = None;
     host.deaf = true;
     host.set_running(0);
-    change(&mut fake, |c| model(c, "a").version = "2".into());
+    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
     fake.run(30 * SECOND);
     let held = |row: &GroupRow| row.epoch == old.epoch && row.phase == GroupPhase::Formed;
     expect_false!(fake.view.groups.values().any(|g| held(&g.row)));
@@ -218,13 +218,13 @@
         &[(0, 6), (1, 6)],
         RepairWeight::Downtime,
     );
-    change(&mut fake, |c| model(c, "a").groups = 1);
+    reconfigure(&mut fake, |c| model(c, "a").groups = 1);
     fake.run(60 * SECOND);
     expect_that!(serving(&fake, "a").len(), eq(1));
-    change(&mut fake, |c| model(c, "a").groups = 4);
+    reconfigure(&mut fake, |c| model(c, "a").groups = 4);
     fake.run(60 * SECOND);
     expect_that!(serving(&fake, "a").len(), eq(4));
-    change(&mut fake, |c| {
+    reconfigure(&mut fake, |c| {
         c.services.remove("b");
     });
     fake.run(120 * SECOND);
@@ -243,7 +243,7 @@
     let mut fake = fake(&[("a", 1, 2, 0)], &[(0, 3)], RepairWeight::Downtime);
     let row = serving(&fake, "a").remove(0);
     fake.hosts.get_mut(&row.members[0]).unwrap().set_running(5);
-    change(&mut fake, |c| model(c, "a").groups = 0);
+    reconfigure(&mut fake, |c| model(c, "a").groups = 0);
     fake.run(20 * SECOND);
     let holds = |f: &Fake| f.hosts[&row.members[0]].placement.is_some();
     expect_true!(holds(&fake));
@@ -275,7 +275,7 @@
     fake.run(240 * SECOND);
     expect_that!(serving(&fake, "a").len(), eq(24));
     expect_that!(fake.totals.most_loads, le(16));
-    expect_that!(fake.totals.most_changes, le(32));
+    expect_that!(fake.totals.max_transactions, le(32));
 }
 
 /// Two groups of two services each miss a host for long, and there is no
@@ -351,7 +351,7 @@
     let mut fake = fake(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
     let row = serving(&fake, "a").remove(0);
     fake.hosts.get_mut(&row.members[0]).unwrap().deaf = true;
-    change(&mut fake, |c| model(c, "a").groups = 0);
+    reconfigure(&mut fake, |c| model(c, "a").groups = 0);
     let mut leaves = 0;
     for _ in 0..40 {
         let sent =
@@ -424,7 +424,7 @@
     let mut fences: BTreeMap<SmolStr, u64> = BTreeMap::new();
     let mut raised = 0;
     for round in 0..3 {
-        change(&mut fake, |c| model(c, "a").groups = [0, 2, 1][round]);
+        reconfigure(&mut fake, |c| model(c, "a").groups = [0, 2, 1][round]);
         for _ in 0..40 {
             for host in fake.view.hosts.values() {
                 fences.insert(host.row.host.clone(), host.row.fence);
@@ -432,7 +432,7 @@
             let actions = fake.step();
             for action in &actions {
                 let binds = matches!(action, Action::FormGroup { .. } | Action::EndGroup { .. });
-                let puts = action.change().filter(|_| binds).map(|c| &c.puts);
+                let puts = action.transaction().filter(|_| binds).map(|c| &c.puts);
                 for put in puts.into_iter().flatten() {
                     if let RowValue::Host(row) = &put.value {
                         let before = fences.insert(row.host.clone(), row.fence);
@@ -451,8 +451,8 @@
 /// fails, whatever it is about, because it names the planner's lease.
 #[gtest]
 fn planned_changes_name_the_lease_and_the_planner() {
-    let change = Change::new().under_lease("n1", 7, "r1", 3);
-    let expected: Vec<_> = change
+    let transaction = Transaction::new().under_lease("n1", 7, "r1", 3);
+    let expected: Vec<_> = transaction
         .expect
         .iter()
         .map(|e| (e.key.as_str(), e.version))
--- a/crates/group/tests/support/oracle.rs
+++ b/crates/group/tests/support/oracle.rs
@@ -4,7 +4,9 @@
 use std::time::Instant;
 
 use eelgrassmill_base::{Order, OrderKind};
-use eelgrassmill_group::{Change, EVIDENCE_MAX_AGE, EvidenceStore, GroupPhase, RowValue, host_key};
+use eelgrassmill_group::{
+    EVIDENCE_MAX_AGE, EvidenceStore, GroupPhase, RowValue, Transaction, host_key,
+};
 use smol_str::SmolStr;
 
 use crate::fake::FakeHost;
@@ -34,8 +36,13 @@
     }
 
     /// A planned transaction was made: by the planner that the table names, with a new epoch.
-    pub(crate) fn see_change(&mut self, change: &Change, by: &str, planner: Option<&str>) {
-        for put in &change.puts {
+    pub(crate) fn record_commit(
+        &mut self,
+        transaction: &Transaction,
+        by: &str,
+        planner: Option<&str>,
+    ) {
+        for put in &transaction.puts {
             match &put.value {
                 RowValue::Group(row) => {
                     assert_eq!(planner, Some(by), "a node that doesn't plan wrote {row:?}");
--- a/crates/group/tests/support/world.rs
+++ b/crates/group/tests/support/world.rs
@@ -7,9 +7,9 @@
 use eelgrassmill_base::{HostEntry, Order, RowVersion};
 use eelgrassmill_config::Config;
 use eelgrassmill_group::{
-    Change, Evidence, EvidenceStore, FleetView, GroupRow, GroupWatch, HeldLease, LeaseObserver,
-    LeaseProof, LeaseTiming, NodeRow, NodeState, ObservedPlanner, PlannerRow, RepairPolicy,
-    RowValue, node_key, plan, planner_key, takeover,
+    Evidence, EvidenceStore, FleetView, GroupRow, GroupWatch, HeldLease, LeaseObserver, LeaseProof,
+    LeaseTiming, NodeRow, NodeState, ObservedPlanner, PlannerRow, RepairPolicy, RowValue,
+    Transaction, node_key, plan, planner_key, takeover,
 };
 use smol_str::{SmolStr, format_smolstr};
 
@@ -40,7 +40,7 @@
 #[derive(Default)]
 pub(crate) struct Table {
     pub(crate) rows: BTreeMap<SmolStr, (RowVersion, RowValue)>,
-    late: Vec<(Instant, Change, SmolStr)>,
+    late: Vec<(Instant, Transaction, SmolStr)>,
     pub(crate) weather: Option<Weather>,
 }
 
@@ -56,15 +56,15 @@
         self.weather == Some(Weather::Down)
     }
 
-    fn apply(&mut self, change: &Change) -> bool {
-        if change
+    fn apply(&mut self, transaction: &Transaction) -> bool {
+        if transaction
             .expect
             .iter()
             .any(|e| self.version(&e.key) != e.version)
         {
             return false;
         }
-        for put in &change.puts {
+        for put in &transaction.puts {
             let row = self
                 .rows
                 .entry(put.key.clone())
@@ -242,36 +242,37 @@
             .into_iter()
             .partition(|l| l.0 <= now);
         self.table.late = later;
-        let due: Vec<(Instant, Change, SmolStr)> = due;
-        for (_, change, by) in due {
-            self.apply(&change, &by);
+        let due: Vec<(Instant, Transaction, SmolStr)> = due;
+        for (_, transaction, by) in due {
+            self.apply(&transaction, &by);
         }
     }
 
-    fn apply(&mut self, change: &Change, by: &str) -> bool {
+    fn apply(&mut self, transaction: &Transaction, by: &str) -> bool {
         let planner = self.table.planner().map(|(row, _)| row.node);
-        let applied = self.table.apply(change);
+        let applied = self.table.apply(transaction);
         if applied {
-            self.oracle.see_change(change, by, planner.as_deref());
+            self.oracle
+                .record_commit(transaction, by, planner.as_deref());
         }
         applied
     }
 
-    fn commit(&mut self, n: usize, change: Change) -> Answer {
+    fn commit(&mut self, n: usize, transaction: Transaction) -> Answer {
         let by = self.nodes[n].row.node.clone();
         match self.table.weather.unwrap_or(Weather::Fair) {
             Weather::Down => Answer::Unknown,
             Weather::Late(time) => {
                 self.table.weather = None;
-                self.table.late.push((self.now + time, change, by));
+                self.table.late.push((self.now + time, transaction, by));
                 Answer::Unknown
             }
             Weather::AnswerLost => {
                 self.table.weather = None;
-                self.apply(&change, &by);
+                self.apply(&transaction, &by);
                 Answer::Unknown
             }
-            Weather::Fair if self.apply(&change, &by) => Answer::Committed,
+            Weather::Fair if self.apply(&transaction, &by) => Answer::Committed,
             Weather::Fair => Answer::Conflict,
         }
     }
@@ -303,11 +304,11 @@
         let version = known.map_or(0, |(_, version)| version);
         let mut row = self.nodes[n].row.clone();
         row.renewals += 1;
-        let change = Change::new()
+        let transaction = Transaction::new()
             .expect(key.clone(), version)
             .put(key.clone(), RowValue::Node(row.clone()));
         let sent = self.now;
-        if matches!(self.commit(n, change), Answer::Committed) {
+        if matches!(self.commit(n, transaction), Answer::Committed) {
             self.nodes[n].row = row;
             let version = self.table.version(&key);
             self.nodes[n].lease.record_renewal(sent, version);
@@ -341,7 +342,7 @@
         let Ok(step) = takeover(&node.row, own_version, &seen, &node.observer) else {
             return;
         };
-        if matches!(self.commit(n, step.change), Answer::Committed) {
+        if matches!(self.commit(n, step.transaction), Answer::Committed) {
             let quiet = self.now + step.quiet_period;
             let name = self.nodes[n].row.node.clone();
             let view = FleetView::new(name, REGION, self.config.clone(), quiet);
@@ -421,8 +422,8 @@
         };
         self.bring_up_to_date(n, &mut view);
         for action in plan(&view, &self.policy, self.now) {
-            if let Some(change) = action.change() {
-                self.commit_planned(n, change.clone());
+            if let Some(transaction) = action.transaction() {
+                self.commit_planned(n, transaction.clone());
             }
             if let Some(order) = action.order() {
                 let Ok(proof) = self.nodes[n].lease.check(self.now) else {
@@ -435,7 +436,7 @@
         self.nodes[n].view = Some(view);
     }
 
-    fn commit_planned(&mut self, n: usize, change: Change) {
+    fn commit_planned(&mut self, n: usize, transaction: Transaction) {
         let node = &self.nodes[n];
         let Some(own) = node.lease.row_version() else {
             return;
@@ -444,7 +445,7 @@
         let mine = planner.filter(|(row, _)| row.node == node.row.node);
         let version = mine.map_or(0, |(_, version)| version);
         let name = node.row.node.clone();
-        let guarded = change.under_lease(&name, own, REGION, version);
+        let guarded = transaction.under_lease(&name, own, REGION, version);
         self.commit(n, guarded);
     }
 
--- a/crates/node/src/loops/planner.rs
+++ b/crates/node/src/loops/planner.rs
@@ -7,9 +7,9 @@
 use eelgrassmill_base::{GroupId, HostEntry, HostState, NodeId, RowVersion};
 use eelgrassmill_config::ServiceKind;
 use eelgrassmill_group::{
-    Action, Change, FleetView, FreeReason, GROUP_PREFIX, GroupPhase, GroupRow, GroupStatus,
-    HOST_PREFIX, HostRow, HostStatus, NodeState, ObservedPlanner, PlannerRow, RepairPolicy,
-    RowValue, Takeover, node_key, plan, planner_key, takeover, weights_name,
+    Action, FleetView, FreeReason, GROUP_PREFIX, GroupPhase, GroupRow, GroupStatus, HOST_PREFIX,
+    HostRow, HostStatus, NodeState, ObservedPlanner, PlannerRow, RepairPolicy, RowValue, Takeover,
+    Transaction, node_key, plan, planner_key, takeover, weights_name,
 };
 use eelgrassmill_peer::PeerNode;
 use eelgrassmill_stores::{SettleBudget, Settled, Table, TableError, WeightStore, settle};
@@ -140,10 +140,10 @@
         };
         self.orders.finish();
         let key = planner_key(&self.core.ident.region);
-        let change = Change::new()
+        let transaction = Transaction::new()
             .expect(key.clone(), planning.version)
             .put(key, RowValue::Absent);
-        let txn = txn(self.core.ident.unique(), &change);
+        let txn = txn(self.core.ident.unique(), &transaction);
         if let Err(err) = self.core.platform.table.commit(&txn) {
             tracing::warn!(%err, "planner row not given back");
         }
@@ -175,14 +175,14 @@
             (known, wanted)
         };
         let Ok(Takeover {
-            change,
+            transaction,
             quiet_period,
         }) = wanted
         else {
             return;
         };
         let from: Option<NodeId> = seen.planner.map(|(row, _)| row.node);
-        let txn = txn(self.core.ident.unique(), &change);
+        let txn = txn(self.core.ident.unique(), &transaction);
         match settle(&self.core.platform.table, &txn, &SettleBudget::default()) {
             Ok(Settled::Committed) => self.begin(quiet_period, from),
             Ok(_) => {}
@@ -383,16 +383,16 @@
             }
             return;
         }
-        let Some(change) = action.change() else {
+        let Some(transaction) = action.transaction() else {
             return;
         };
-        if self.commit(planning.version, change.clone()) {
+        if self.commit(planning.version, transaction.clone()) {
             self.note(&planning.view, &action);
         }
     }
 
     /// Commits under the lease as it is now; a lost race is planned anew.
-    fn commit(&self, planner_version: RowVersion, change: Change) -> bool {
+    fn commit(&self, planner_version: RowVersion, transaction: Transaction) -> bool {
         let ident = &self.core.ident;
         let node_version = {
             let lease = lock(&self.core.lease);
@@ -404,8 +404,9 @@
         let Some(node_version) = node_version else {
             return false;
         };
-        let change = change.under_lease(&ident.node, node_version, &ident.region, planner_version);
-        let txn = txn(ident.unique(), &change);
+        let transaction =
+            transaction.under_lease(&ident.node, node_version, &ident.region, planner_version);
+        let txn = txn(ident.unique(), &transaction);
         match settle(&self.core.platform.table, &txn, &SettleBudget::default()) {
             Ok(settled) => settled == Settled::Committed,
             Err(err) => {
@@ -472,10 +473,10 @@
         };
         for (node, version) in lapsed {
             let key = node_key(&node);
-            let change = Change::new()
+            let transaction = Transaction::new()
                 .expect(key.clone(), version)
                 .put(key, RowValue::Absent);
-            if self.commit(planning.version, change) {
+            if self.commit(planning.version, transaction) {
                 let reason = "lease lapsed".into();
                 let peer = node;
                 self.core.journal.note(EventKind::NodeLeft { peer, reason });
--- a/crates/node/src/loops/rows.rs
+++ b/crates/node/src/loops/rows.rs
@@ -1,7 +1,7 @@
 //! Between the policy's rows and the table's.
 
 use eelgrassmill_base::{RowVersion, TxnId};
-use eelgrassmill_group::{Change, RowValue};
+use eelgrassmill_group::{RowValue, Transaction};
 use eelgrassmill_stores::{Condition, Row, Table, TableError, Txn, Write};
 use serde::de::DeserializeOwned;
 
@@ -28,12 +28,12 @@
 }
 
 /// The transaction that makes a change.
-pub(crate) fn txn(id: TxnId, change: &Change) -> Txn {
-    let conditions = change.expect.iter().map(|e| Condition {
+pub(crate) fn txn(id: TxnId, transaction: &Transaction) -> Txn {
+    let conditions = transaction.expect.iter().map(|e| Condition {
         key: e.key.clone(),
         version: e.version,
     });
-    let writes = change.puts.iter().map(|p| Write {
+    let writes = transaction.puts.iter().map(|p| Write {
         key: p.key.clone(),
         value: encode(&p.value),
     });
