--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -10,20 +10,20 @@
 mod rows;
 
 pub use crate::evidence::{
-    AgeKeeper, CannotServe, EVIDENCE_MAX_AGE, Evidence, EvidenceStore, GroupWatch, MAX_WATCHERS,
-    NotServing, REPORT_MAX_AGE, RESTART_MEMORY, SILENCE_GRACE, ServingAs, Verdict, WatcherList,
-    Why, can_serve, judge, watchers,
+    AgeEstimator, EVIDENCE_MAX_AGE, Evidence, EvidenceStore, GroupEndpoint, GroupWatch,
+    MAX_WATCHERS, MissingReason, NotServing, REPORT_MAX_AGE, RESTART_RETENTION, SILENCE_GRACE,
+    ServiceUnavailable, Verdict, WatcherList, can_serve, evaluate, watchers,
 };
 pub use crate::lease::{
-    HeldLease, LeaseError, LeaseObserver, LeaseProof, LeaseTiming, NotYet, PlannerSeen, Takeover,
-    takeover,
+    HeldLease, LeaseError, LeaseObserver, LeaseProof, LeaseTiming, ObservedPlanner, Takeover,
+    TakeoverError, takeover,
 };
 pub use crate::plan::{
-    Absence, Action, FleetView, FreedBecause, GroupFacts, HostFacts, RepairChoice, RepairPolicy,
-    Return, ReturnModel, plan,
+    Action, FailureScope, FleetView, FreeReason, GroupStatus, HostStatus, Recovery, RecoveryModel,
+    RepairPolicy, RepairStrategy, plan,
 };
 pub use crate::rows::{
-    Change, EndReason, Expect, GROUP_PREFIX, GroupPhase, GroupRow, HOST_PREFIX, HostRow,
-    NODE_PREFIX, NodeRow, NodeState, PLANNER_PREFIX, PlannerRow, Put, RowValue, group_id,
-    group_key, host_key, node_key, planner_key, split_group_id, warming_id, weights_name,
+    EndReason, GROUP_PREFIX, GroupPhase, GroupRow, HOST_PREFIX, HostRow, NODE_PREFIX, NodeRow,
+    NodeState, PLANNER_PREFIX, PlannerRow, Precondition, Put, RowValue, Transaction, group_id,
+    group_key, host_key, node_key, parse_group_id, planner_key, warming_group_id, weights_name,
 };
--- a/crates/group/tests/plan.rs
+++ b/crates/group/tests/plan.rs
@@ -13,8 +13,8 @@
 
 use eelgrassmill_config::{Config, RepairWeight, ServiceKind};
 use eelgrassmill_group::{
-    Absence, Action, Change, EndReason, FreedBecause, GroupPhase, GroupRow, RepairPolicy, Return,
-    ReturnModel, RowValue,
+    Action, EndReason, FailureScope, FreeReason, GroupPhase, GroupRow, Recovery, RecoveryModel,
+    RepairPolicy, RowValue, Transaction,
 };
 use googletest::prelude::*;
 use smol_str::SmolStr;
@@ -51,7 +51,7 @@
     fake
 }
 
-fn change(fake: &mut Fake, change: impl FnOnce(&mut Config)) {
+fn reconfigure(fake: &mut Fake, change: impl FnOnce(&mut Config)) {
     let mut config = (*fake.view.config).clone();
     change(&mut config);
     fake.view.config = Arc::new(config);
@@ -112,7 +112,7 @@
 #[gtest]
 fn a_rollout_with_room_loses_no_capacity() {
     let mut fake = fake(&[("a", 3, 2, 2)], &[(0, 5), (1, 5)], RepairWeight::Downtime);
-    change(&mut fake, |c| model(c, "a").version = "2".into());
+    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
     let least = least_serving(&mut fake, "a", 300 * SECOND);
     expect_that!(least, ge(3));
     expect_true!(serving(&fake, "a").iter().all(|g| g.version == "2"));
@@ -123,7 +123,7 @@
 #[gtest]
 fn a_rollout_without_room_keeps_the_floor() {
     let mut fake = fake(&[("a", 4, 2, 3)], &[(0, 4), (1, 4)], RepairWeight::Downtime);
-    change(&mut fake, |c| model(c, "a").version = "2".into());
+    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
     let least = least_serving(&mut fake, "a", 300 * SECOND);
     expect_that!(least, eq(3));
     let rows = serving(&fake, "a");
@@ -137,7 +137,7 @@
 #[gtest]
 fn a_moment_of_silence_does_not_end_the_last_group_of_a_rollout() {
     let mut fake = fake(&[("a", 2, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
-    change(&mut fake, |c| model(c, "a").version = "2".into());
+    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
     while serving(&fake, "a").len() == 2 {
         fake.step();
     }
@@ -157,7 +157,7 @@
 
 fn is_rollout(action: &Action) -> bool {
     let ended = |reason: &EndReason| matches!(reason, EndReason::Rollout | EndReason::Replaced);
-    matches!(action, Action::BeginEnding { reason, .. } if ended(reason))
+    matches!(action, Action::EndGroup { reason, .. } if ended(reason))
 }
 
 /// The planner is the first to know that a group serves; to the other nodes the news takes a
@@ -170,8 +170,8 @@
             &[(0, hosts)],
             RepairWeight::Downtime,
         );
-        change(&mut fake, |c| model(c, "a").version = "2".into());
-        let known = fake.policy.heard;
+        reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
+        let known = fake.policy.propagation_delay;
         let old = serving(&fake, "a")
             .into_iter()
             .map(|g| (g.epoch, fake.now - known));
@@ -205,7 +205,7 @@
     host.placement = None;
     host.deaf = true;
     host.set_running(0);
-    change(&mut fake, |c| model(c, "a").version = "2".into());
+    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
     fake.run(30 * SECOND);
     let held = |row: &GroupRow| row.epoch == old.epoch && row.phase == GroupPhase::Formed;
     expect_false!(fake.view.groups.values().any(|g| held(&g.row)));
@@ -218,13 +218,13 @@
         &[(0, 6), (1, 6)],
         RepairWeight::Downtime,
     );
-    change(&mut fake, |c| model(c, "a").groups = 1);
+    reconfigure(&mut fake, |c| model(c, "a").groups = 1);
     fake.run(60 * SECOND);
     expect_that!(serving(&fake, "a").len(), eq(1));
-    change(&mut fake, |c| model(c, "a").groups = 4);
+    reconfigure(&mut fake, |c| model(c, "a").groups = 4);
     fake.run(60 * SECOND);
     expect_that!(serving(&fake, "a").len(), eq(4));
-    change(&mut fake, |c| {
+    reconfigure(&mut fake, |c| {
         c.services.remove("b");
     });
     fake.run(120 * SECOND);
@@ -243,7 +243,7 @@
     let mut fake = fake(&[("a", 1, 2, 0)], &[(0, 3)], RepairWeight::Downtime);
     let row = serving(&fake, "a").remove(0);
     fake.hosts.get_mut(&row.members[0]).unwrap().set_running(5);
-    change(&mut fake, |c| model(c, "a").groups = 0);
+    reconfigure(&mut fake, |c| model(c, "a").groups = 0);
     fake.run(20 * SECOND);
     let holds = |f: &Fake| f.hosts[&row.members[0]].placement.is_some();
     expect_true!(holds(&fake));
@@ -275,7 +275,7 @@
     fake.run(240 * SECOND);
     expect_that!(serving(&fake, "a").len(), eq(24));
     expect_that!(fake.totals.most_loads, le(16));
-    expect_that!(fake.totals.most_changes, le(32));
+    expect_that!(fake.totals.max_transactions, le(32));
 }
 
 /// Two groups of two services each miss a host for long, and there is no
@@ -351,7 +351,7 @@
     let mut fake = fake(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
     let row = serving(&fake, "a").remove(0);
     fake.hosts.get_mut(&row.members[0]).unwrap().deaf = true;
-    change(&mut fake, |c| model(c, "a").groups = 0);
+    reconfigure(&mut fake, |c| model(c, "a").groups = 0);
     let mut leaves = 0;
     for _ in 0..40 {
         let sent =
@@ -365,27 +365,28 @@
 #[gtest]
 fn waiting_pays_as_long_as_hosts_have_come_back_soon() {
     let cost = 2 * SECOND;
-    let mut model = ReturnModel::new();
+    let mut model = RecoveryModel::new();
     for _ in 0..500 {
-        model.record(Absence::Single, Return::Whole, 5 * SECOND);
+        model.record(FailureScope::Isolated, Recovery::Intact, 5 * SECOND);
     }
-    let patient = model.act_after(Absence::Single, Return::Whole, cost);
+    let patient = model.optimal_wait(FailureScope::Isolated, Recovery::Intact, cost);
     expect_that!(patient, eq(Duration::ZERO), "5 s cost more than 2 s");
     expect_that!(
-        model.act_after(Absence::Single, Return::Whole, 9 * SECOND),
+        model.optimal_wait(FailureScope::Isolated, Recovery::Intact, 9 * SECOND),
         eq(6 * SECOND)
     );
     for _ in 0..1500 {
-        model.record_never(Absence::Single);
+        model.record_permanent(FailureScope::Isolated);
     }
     expect_that!(
-        model.act_after(Absence::Single, Return::Whole, 9 * SECOND),
+        model.optimal_wait(FailureScope::Isolated, Recovery::Intact, 9 * SECOND),
         eq(Duration::ZERO)
     );
     // What single hosts do says nothing of whole domains.
-    let fresh = ReturnModel::new().act_after(Absence::Together, Return::Whole, 9 * SECOND);
+    let fresh =
+        RecoveryModel::new().optimal_wait(FailureScope::Correlated, Recovery::Intact, 9 * SECOND);
     expect_that!(
-        model.act_after(Absence::Together, Return::Whole, 9 * SECOND),
+        model.optimal_wait(FailureScope::Correlated, Recovery::Intact, 9 * SECOND),
         eq(fresh)
     );
 }
@@ -402,9 +403,9 @@
     for _ in 0..60 {
         for action in fake.step() {
             match action {
-                Action::BeginEnding { .. } => ended = ended.or(Some(fake.now)),
-                Action::FreeHost { host, because, .. } if host == row.members[1] => {
-                    expect_that!(because, eq(FreedBecause::Outlived));
+                Action::EndGroup { .. } => ended = ended.or(Some(fake.now)),
+                Action::FreeHost { host, reason, .. } if host == row.members[1] => {
+                    expect_that!(reason, eq(FreeReason::OrdersExpired));
                     freed = Some(fake.now);
                 }
                 _ => {}
@@ -412,7 +413,7 @@
         }
     }
     let (ended, freed) = (ended.expect("it was ended"), freed.expect("it was freed"));
-    expect_that!(freed - ended, ge(fake.policy.timing.outlived_after()));
+    expect_that!(freed - ended, ge(fake.policy.timing.orders_expire_after()));
 }
 
 /// Each binding and each ending gives a host a higher fence than all before,
@@ -423,15 +424,15 @@
     let mut fences: BTreeMap<SmolStr, u64> = BTreeMap::new();
     let mut raised = 0;
     for round in 0..3 {
-        change(&mut fake, |c| model(c, "a").groups = [0, 2, 1][round]);
+        reconfigure(&mut fake, |c| model(c, "a").groups = [0, 2, 1][round]);
         for _ in 0..40 {
             for host in fake.view.hosts.values() {
                 fences.insert(host.row.host.clone(), host.row.fence);
             }
             let actions = fake.step();
             for action in &actions {
-                let binds = matches!(action, Action::Form { .. } | Action::BeginEnding { .. });
-                let puts = action.change().filter(|_| binds).map(|c| &c.puts);
+                let binds = matches!(action, Action::FormGroup { .. } | Action::EndGroup { .. });
+                let puts = action.transaction().filter(|_| binds).map(|c| &c.puts);
                 for put in puts.into_iter().flatten() {
                     if let RowValue::Host(row) = &put.value {
                         let before = fences.insert(row.host.clone(), row.fence);
@@ -450,8 +451,8 @@
 /// fails, whatever it is about, because it names the planner's lease.
 #[gtest]
 fn planned_changes_name_the_lease_and_the_planner() {
-    let change = Change::new().under_lease("n1", 7, "r1", 3);
-    let expected: Vec<_> = change
+    let transaction = Transaction::new().under_lease("n1", 7, "r1", 3);
+    let expected: Vec<_> = transaction
         .expect
         .iter()
         .map(|e| (e.key.as_str(), e.version))
--- a/crates/node/src/loops/planner.rs
+++ b/crates/node/src/loops/planner.rs
@@ -7,9 +7,9 @@
 use eelgrassmill_base::{GroupId, HostEntry, HostState, NodeId, RowVersion};
 use eelgrassmill_config::ServiceKind;
 use eelgrassmill_group::{
-    Action, Change, FleetView, FreedBecause, GROUP_PREFIX, GroupFacts, GroupPhase, GroupRow,
-    HOST_PREFIX, HostFacts, HostRow, NodeState, PlannerRow, PlannerSeen, RepairPolicy, RowValue,
-    Takeover, node_key, plan, planner_key, takeover, weights_name,
+    Action, FleetView, FreeReason, GROUP_PREFIX, GroupPhase, GroupRow, GroupStatus, HOST_PREFIX,
+    HostRow, HostStatus, NodeState, ObservedPlanner, PlannerRow, RepairPolicy, RowValue, Takeover,
+    Transaction, node_key, plan, planner_key, takeover, weights_name,
 };
 use eelgrassmill_peer::PeerNode;
 use eelgrassmill_stores::{SettleBudget, Settled, Table, TableError, WeightStore, settle};
@@ -140,10 +140,10 @@
         };
         self.orders.finish();
         let key = planner_key(&self.core.ident.region);
-        let change = Change::new()
+        let transaction = Transaction::new()
             .expect(key.clone(), planning.version)
             .put(key, RowValue::Absent);
-        let txn = txn(self.core.ident.unique(), &change);
+        let txn = txn(self.core.ident.unique(), &transaction);
         if let Err(err) = self.core.platform.table.commit(&txn) {
             tracing::warn!(%err, "planner row not given back");
         }
@@ -170,17 +170,21 @@
             let holder = planner
                 .as_ref()
                 .and_then(|(row, _)| lock(&self.core.fleet).nodes.get(&row.node).cloned());
-            let known = PlannerSeen { planner, holder };
+            let known = ObservedPlanner { planner, holder };
             let wanted = takeover(&own, own_version, &known, &seen.observer);
             (known, wanted)
         };
-        let Ok(Takeover { change, quiet }) = wanted else {
+        let Ok(Takeover {
+            transaction,
+            quiet_period,
+        }) = wanted
+        else {
             return;
         };
         let from: Option<NodeId> = seen.planner.map(|(row, _)| row.node);
-        let txn = txn(self.core.ident.unique(), &change);
+        let txn = txn(self.core.ident.unique(), &transaction);
         match settle(&self.core.platform.table, &txn, &SettleBudget::default()) {
-            Ok(Settled::Committed) => self.begin(quiet, from),
+            Ok(Settled::Committed) => self.begin(quiet_period, from),
             Ok(_) => {}
             Err(err) => tracing::error!(%err, "takeover is not a settled transaction"),
         }
@@ -195,7 +199,7 @@
             .is_some_and(|(row, _)| row.node == ident.node && row.incarnation == ident.incarnation)
     }
 
-    fn begin(&mut self, quiet: Duration, from: Option<NodeId>) {
+    fn begin(&mut self, quiet_period: Duration, from: Option<NodeId>) {
         let ident = &self.core.ident;
         let row = match self.core.platform.table.get(&planner_key(&ident.region)) {
             Ok(row) => row.as_ref().and_then(decode::<PlannerRow>),
@@ -209,7 +213,7 @@
             return;
         }
         let cfg = self.core.config.config();
-        let quiet_until = Instant::now() + quiet;
+        let quiet_until = Instant::now() + quiet_period;
         let policy = RepairPolicy {
             timing: self.core.timing,
             ..RepairPolicy::new(cfg.repair)
@@ -379,16 +383,16 @@
             }
             return;
         }
-        let Some(change) = action.change() else {
+        let Some(transaction) = action.transaction() else {
             return;
         };
-        if self.commit(planning.version, change.clone()) {
+        if self.commit(planning.version, transaction.clone()) {
             self.note(&planning.view, &action);
         }
     }
 
     /// Commits under the lease as it is now; a lost race is planned anew.
-    fn commit(&self, planner_version: RowVersion, change: Change) -> bool {
+    fn commit(&self, planner_version: RowVersion, transaction: Transaction) -> bool {
         let ident = &self.core.ident;
         let node_version = {
             let lease = lock(&self.core.lease);
@@ -400,8 +404,9 @@
         let Some(node_version) = node_version else {
             return false;
         };
-        let change = change.under_lease(&ident.node, node_version, &ident.region, planner_version);
-        let txn = txn(ident.unique(), &change);
+        let transaction =
+            transaction.under_lease(&ident.node, node_version, &ident.region, planner_version);
+        let txn = txn(ident.unique(), &transaction);
         match settle(&self.core.platform.table, &txn, &SettleBudget::default()) {
             Ok(settled) => settled == Settled::Committed,
             Err(err) => {
@@ -414,7 +419,7 @@
     fn note(&self, view: &FleetView, action: &Action) {
         let journal = &self.core.journal;
         match action {
-            Action::Form { row, .. } => {
+            Action::FormGroup { row, .. } => {
                 journal.note(EventKind::GroupForming {
                     group: row.group.clone(),
                     epoch: row.epoch,
@@ -429,7 +434,7 @@
                     });
                 }
             }
-            Action::BeginEnding { group, reason, .. } => {
+            Action::EndGroup { group, reason, .. } => {
                 let fleet = lock(&self.core.fleet);
                 let epoch = fleet.groups.get(group).map_or(0, |(row, _)| row.epoch);
                 journal.note(EventKind::GroupEnding {
@@ -438,12 +443,12 @@
                     reason: format_smolstr!("{reason:?}"),
                 });
             }
-            Action::FreeHost { host, because, .. } => journal.note(EventKind::HostFreed {
+            Action::FreeHost { host, reason, .. } => journal.note(EventKind::HostFreed {
                 host: host.clone(),
                 group: group_of(view, host),
-                reason: match because {
-                    FreedBecause::Confirmed => "its own report".into(),
-                    FreedBecause::Outlived => "outlived".into(),
+                reason: match reason {
+                    FreeReason::Confirmed => "its own report".into(),
+                    FreeReason::OrdersExpired => "outlived".into(),
                 },
             }),
             Action::RemoveGroup { .. } | Action::SendJoin { .. } | Action::SendLeave { .. } => {}
@@ -461,17 +466,17 @@
             let fleet = lock(&self.core.fleet);
             let rows = fleet.nodes.values();
             rows.filter(|(row, version)| {
-                !self.core.is_me(&row.node) && seen.observer.lapsed(&row.node, *version)
+                !self.core.is_me(&row.node) && seen.observer.has_expired(&row.node, *version)
             })
             .map(|(row, version)| (row.node.clone(), *version))
             .collect()
         };
         for (node, version) in lapsed {
             let key = node_key(&node);
-            let change = Change::new()
+            let transaction = Transaction::new()
                 .expect(key.clone(), version)
                 .put(key, RowValue::Absent);
-            if self.commit(planning.version, change) {
+            if self.commit(planning.version, transaction) {
                 let reason = "lease lapsed".into();
                 let peer = node;
                 self.core.journal.note(EventKind::NodeLeft { peer, reason });
@@ -482,8 +487,8 @@
 
 /// Whether every group serves, and every host that a row names belongs to one.
 fn is_settled(view: &FleetView) -> bool {
-    let serves = |g: &GroupFacts| g.serving && g.row.phase == GroupPhase::Formed;
-    let belongs = |h: &HostFacts| {
+    let serves = |g: &GroupStatus| g.serving && g.row.phase == GroupPhase::Formed;
+    let belongs = |h: &HostStatus| {
         let group = h.row.group.as_ref();
         group.is_none_or(|g| view.groups.contains_key(g))
     };
