--- a/crates/fleet/benches/schedule.rs
+++ b/crates/fleet/benches/schedule.rs
@@ -5,7 +5,9 @@
 use std::time::{Duration, Instant};
 
 use divan::Bencher;
-use eelgrassmill_fleet::{Ask, EngineSpeed, Millionths, OpenHead, RequestKey, Scheduler};
+use eelgrassmill_fleet::{
+    EngineSpeed, Millionths, OpenHead, PendingRequest, RequestKey, Scheduler,
+};
 use smol_str::format_smolstr;
 
 const SLOTS: usize = 13;
@@ -22,37 +24,37 @@
         host: format_smolstr!("host-{n}"),
         slots: SLOTS,
         failure_domain: "east".into(),
-        reported: 0,
-        unscheduled: 0,
+        inherited_requests: 0,
+        unscheduled_requests: 0,
         cold: None,
     };
     (0..count).map(head).collect()
 }
 
-fn ask(number: u64, now: Instant) -> Ask {
-    Ask {
+fn ask(number: u64, now: Instant) -> PendingRequest {
+    PendingRequest {
         key: RequestKey {
             node: "node-1".into(),
             number,
         },
         failure_domain: "east".into(),
-        prompt: 700,
+        prompt_tokens: 700,
         resumed: false,
         urgency: 1,
         on_time_until: now + Duration::from_millis(300),
-        until: now + Duration::from_millis(1400),
-        pause: Duration::from_millis(200),
+        deadline: now + Duration::from_millis(1400),
+        max_event_gap: Duration::from_millis(200),
         avoid: Default::default(),
     }
 }
 
 fn speed() -> EngineSpeed {
     EngineSpeed {
-        step: Duration::from_millis(6),
-        per_request: Duration::from_micros(45),
-        steps: 7,
-        read: Duration::from_micros(18),
-        pace: Millionths::of(1.0),
+        decode_step: Duration::from_millis(6),
+        decode_per_request: Duration::from_micros(45),
+        steps_per_pass: 7,
+        prefill_per_token: Duration::from_micros(18),
+        time_factor: Millionths::of(1.0),
     }
 }
 
@@ -64,17 +66,17 @@
     let mut scheduler = Scheduler::new(speed(), now);
     let full = (heads.len() * (SLOTS + 1)) as u64;
     for n in 0..full {
-        scheduler.ask(ask(n, now), now);
+        scheduler.enqueue(ask(n, now), now);
         scheduler.assign(&heads, now);
-        scheduler.started(&ask(n, now).key, now);
+        scheduler.on_first_event(&ask(n, now).key, now);
     }
     for n in full..full + waiting {
-        scheduler.ask(ask(n, now), now);
+        scheduler.enqueue(ask(n, now), now);
     }
     scheduler.assign(&heads, now);
     let again = ask(full + waiting / 2, now);
     bencher.bench_local(|| {
-        scheduler.ask(again.clone(), now);
+        scheduler.enqueue(again.clone(), now);
         scheduler.assign(&heads, now).len()
     });
 }
@@ -90,9 +92,9 @@
         number += 1;
         let asked = ask(number, now);
         let key = asked.key.clone();
-        scheduler.ask(asked, now);
+        scheduler.enqueue(asked, now);
         scheduler.assign(&heads, now);
-        scheduler.started(&key, now);
+        scheduler.on_first_event(&key, now);
         key
     };
     for _ in 0..RUNNING * count as u64 {
@@ -101,7 +103,7 @@
     bencher.bench_local(|| {
         let key = run(&mut scheduler);
         scheduler.assign(&heads, now);
-        scheduler.released(&key);
+        scheduler.release(&key);
         scheduler.assign(&heads, now);
     });
 }
--- a/crates/fleet/src/catalog.rs
+++ b/crates/fleet/src/catalog.rs
@@ -12,11 +12,11 @@
 
 value! { copy
     /// Whether a request may run a second time.
-    pub enum Repeat {
+    pub enum RetryPolicy {
         /// Running twice does no harm.
         Idempotent,
         /// It runs at most once for each attempt of its caller.
-        Once,
+        AtMostOnce,
     }
 }
 
@@ -26,7 +26,7 @@
         /// A broken stream may go on at another host after its last event.
         pub resumable: bool,
         /// The longest pause between events with which an answer is still on time.
-        pub pause: Duration,
+        pub max_event_gap: Duration,
     }
 }
 
@@ -40,13 +40,13 @@
         /// Begins and ends with a slash.
         pub prefix: SmolStr,
         /// What may be repeated.
-        pub repeat: Repeat,
+        pub retry_policy: RetryPolicy,
         /// Set on routes that answer with a stream.
         pub stream: Option<StreamRules>,
         /// The longest time that a caller is kept waiting.
         pub timeout: Duration,
         /// Within it an answer is on time.
-        pub aim: Duration,
+        pub latency_objective: Duration,
         /// 0 is the most urgent.
         pub urgency: u8,
         /// Most hosts on which one attempt of a caller may run.
@@ -66,11 +66,11 @@
         /// The model's part of the work, of 1.
         pub share: Millionths,
         /// Time to load its weights from the weight store.
-        pub load: Duration,
+        pub load_time: Duration,
         /// Time to load its weights from the host's own memory.
-        pub warm: Duration,
+        pub warm_load_time: Duration,
         /// Factor on all of its replicas' times.
-        pub pace: Millionths,
+        pub time_factor: Millionths,
     }
 
     /// What the hosts of a model service can do.
@@ -82,7 +82,7 @@
         /// Loads from the weight store that may start in a second, in thousandths.
         pub loads_per_ks: u64,
         /// Loads under way beyond which each takes longer.
-        pub loads_at_once: usize,
+        pub max_concurrent_loads: usize,
         /// How fast a replica works whose model's pace is 1.
         pub speed: EngineSpeed,
     }
@@ -127,25 +127,25 @@
     /// every stream, and reads prompts between them; a stream's events come a pass apart.
     pub struct EngineSpeed {
         /// A step that writes, with nothing else to do.
-        pub step: Duration,
+        pub decode_step: Duration,
         /// What each request that is written adds to a step.
-        pub per_request: Duration,
+        pub decode_per_request: Duration,
         /// Steps of a pass.
-        pub steps: u32,
+        pub steps_per_pass: u32,
         /// Time to read a prompt token; zero where it isn't known.
-        pub read: Duration,
+        pub prefill_per_token: Duration,
         /// Factor on all times.
-        pub pace: Millionths,
+        pub time_factor: Millionths,
     }
 }
 
 impl EngineSpeed {
     /// A pass that writes `requests` and reads `prompt` tokens beside.
-    pub fn pass(&self, requests: usize, prompt: u64) -> Duration {
+    pub fn pass_time(&self, requests: usize, prompt: u64) -> Duration {
         let requests = u32::try_from(requests).unwrap_or(u32::MAX);
-        let writing = (self.step + self.per_request * requests) * self.steps;
-        let reading = self.read.mul_f64(prompt as f64);
-        (writing + reading).mul_f64(self.pace.get())
+        let writing = (self.decode_step + self.decode_per_request * requests) * self.steps_per_pass;
+        let reading = self.prefill_per_token.mul_f64(prompt as f64);
+        (writing + reading).mul_f64(self.time_factor.get())
     }
 }
 
@@ -168,7 +168,7 @@
 
 /// Why no route takes a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum RouteRefusal {
+pub enum RouteError {
     /// No route has this host name and path.
     #[error("no route has this host and path")]
     NoRoute,
@@ -224,27 +224,27 @@
     /// The route of the longest prefix that begins `path`.
     ///
     /// # Errors
-    /// [`RouteRefusal::NoRoute`].
-    pub fn route(&self, host: &str, path: &str) -> Result<&Arc<Route>, RouteRefusal> {
-        let routes = self.routes.get(host).ok_or(RouteRefusal::NoRoute)?;
+    /// [`RouteError::NoRoute`].
+    pub fn route(&self, host: &str, path: &str) -> Result<&Arc<Route>, RouteError> {
+        let routes = self.routes.get(host).ok_or(RouteError::NoRoute)?;
         let found = routes.iter().find(|r| path.starts_with(r.prefix.as_str()));
-        found.ok_or(RouteRefusal::NoRoute)
+        found.ok_or(RouteError::NoRoute)
     }
 
     /// Who holds `key`. On a public route a missing or unknown key is nobody's.
     ///
     /// # Errors
-    /// [`RouteRefusal::UnknownKey`].
+    /// [`RouteError::UnknownKey`].
     pub fn caller(
         &self,
         route: &Route,
         key: Option<&str>,
-    ) -> Result<Option<Arc<Caller>>, RouteRefusal> {
+    ) -> Result<Option<Arc<Caller>>, RouteError> {
         let known = key.and_then(|k| self.callers.get(k));
         if known.is_some() || route.public || self.callers.is_empty() {
             return Ok(known.cloned());
         }
-        Err(RouteRefusal::UnknownKey)
+        Err(RouteError::UnknownKey)
     }
 
     /// A service by name.
--- a/crates/fleet/src/cold.rs
+++ b/crates/fleet/src/cold.rs
@@ -3,7 +3,7 @@
 //! Sized for a failure domain whose hosts all come back at once beside full traffic. All nodes share
 //! the bound on a cold host's request rate. A scheduler, which assigns all requests of a head,
 //! counts its grants ([`GrantWindow`]); a node that chooses hosts by itself takes its part of the
-//! bound ([`ColdShares`]).
+//! bound ([`ColdRateLimiter`]).
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -25,9 +25,9 @@
     /// What holds for a service's hosts after a start.
     pub struct ColdStart {
         /// How long they are cold.
-        pub time: Duration,
+        pub duration: Duration,
         /// Requests a second that one can take meanwhile.
-        pub rate: Millionths,
+        pub max_rate: Millionths,
     }
 }
 
@@ -36,7 +36,7 @@
     pub(crate) fn grants(&self, began: Instant, now: Instant) -> usize {
         let is_successor = now.saturating_duration_since(began) < WINDOW;
         let ratio = if is_successor { SUCCESSOR_RATIO } else { 1.0 };
-        (self.rate.get() * ratio).floor().max(1.0) as usize
+        (self.max_rate.get() * ratio).floor().max(1.0) as usize
     }
 }
 
@@ -66,12 +66,12 @@
 
 /// One node's part of the request rates of cold hosts: a token bucket for each, of one token.
 #[derive(Clone, Debug, Default)]
-pub struct ColdShares {
+pub struct ColdRateLimiter {
     /// Tokens by host, as of an instant.
     tokens: BTreeMap<HostId, (f64, Instant)>,
 }
 
-impl ColdShares {
+impl ColdRateLimiter {
     /// Whether this node, one of `nodes`, may send a cold host a request now.
     ///
     /// `draw` is any number from 0 up to 1, with which a host's bucket begins; nodes must not draw
@@ -84,7 +84,7 @@
         draw: f64,
         now: Instant,
     ) -> bool {
-        let rate = cold.rate.get() * SHARED_RATIO / nodes.max(1) as f64;
+        let rate = cold.max_rate.get() * SHARED_RATIO / nodes.max(1) as f64;
         let (tokens, at) = self.tokens.entry(host.clone()).or_insert((draw, now));
         let earned = rate * now.saturating_duration_since(*at).as_secs_f64();
         *tokens = (*tokens + earned).min(1.0);
@@ -93,15 +93,15 @@
     }
 
     /// Notes that a request was sent to a cold host.
-    pub fn sent(&mut self, host: &HostId) {
+    pub fn on_sent(&mut self, host: &HostId) {
         if let Some((tokens, _)) = self.tokens.get_mut(host) {
             *tokens -= 1.0;
         }
     }
 
     /// Forgets hosts that can't be cold any more: no request was considered for them for that long.
-    pub fn forget_warm(&mut self, cold: &ColdStart, now: Instant) {
-        let asked = |at: &Instant| now.saturating_duration_since(*at) < cold.time;
+    pub fn remove_warm(&mut self, cold: &ColdStart, now: Instant) {
+        let asked = |at: &Instant| now.saturating_duration_since(*at) < cold.duration;
         self.tokens.retain(|_, (_, at)| asked(at));
     }
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -28,8 +28,9 @@
     pub enum EvacuationChange {
         /// The operator evacuates a failure domain.
         Evacuated(FailureDomain),
-        /// The operator takes it back.
-        TakenBack(FailureDomain),
+        /// The operator cancels the evacuation.
+        #[serde(rename = "TakenBack")]
+        Cancelled(FailureDomain),
         /// All that are evacuated; the others are taken back.
         Snapshot(BTreeSet<FailureDomain>),
     }
@@ -97,7 +98,7 @@
             EvacuationChange::Evacuated(domain) => {
                 known.insert(domain);
             }
-            EvacuationChange::TakenBack(domain) => {
+            EvacuationChange::Cancelled(domain) => {
                 known.remove(&domain);
             }
             EvacuationChange::Snapshot(domains) => *known = domains,
@@ -112,7 +113,7 @@
     pub fn cold_until(&self, host: &Host, cold: &ColdStart) -> Option<Instant> {
         let own = self.cold_until.get(&host.id).copied();
         let back = self.taken_back.get(&host.failure_domain);
-        own.max(back.map(|at| *at + cold.time))
+        own.max(back.map(|at| *at + cold.duration))
     }
 
     /// The hosts.
@@ -138,7 +139,7 @@
     ///
     /// Entries lapse while hosts can't write them, so the first lists after an outage
     /// lack hosts that are well. Without this every group would be given up at once.
-    pub fn store_disturbed(&mut self, now: Instant) {
+    pub fn on_store_failure(&mut self, now: Instant) {
         self.lenient_until = Some(now + RELIST_TIME);
     }
 
@@ -169,7 +170,7 @@
     }
 
     /// Takes a host's own word, which is newer than its entry.
-    pub fn heard(&mut self, host: Host) {
+    pub fn apply_report(&mut self, host: Host) {
         if let Some(known) = self.hosts.get_mut(&host.id) {
             let listed = std::mem::replace(known, host);
             self.outdated.entry(listed.id.clone()).or_insert(listed);
@@ -177,11 +178,11 @@
     }
 
     /// Takes a host's word that it left a formation.
-    pub fn left(&mut self, id: &str, replica: &str, epoch: Epoch) {
+    pub fn clear_membership(&mut self, id: &str, replica: &str, epoch: Epoch) {
         let known = self.hosts.get(id);
         let member = known.filter(|h| h.belongs_to(replica, epoch)).cloned();
         if let Some(host) = member {
-            self.heard(Host {
+            self.apply_report(Host {
                 membership: None,
                 ..host
             });
--- a/crates/fleet/src/host.rs
+++ b/crates/fleet/src/host.rs
@@ -49,7 +49,8 @@
         pub id: HostId,
         /// Milliseconds since 1970 at its start, by its own clock. A host that starts
         /// again under its name has forgotten its membership.
-        pub born_ms: u64,
+        #[serde(rename = "born_ms")]
+        pub started_ms: u64,
         /// The service that it runs.
         pub service: ServiceName,
         /// `IP:PORT` for requests and orders.
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -27,7 +27,7 @@
 
 value! { copy
     /// What a holder may do.
-    pub enum Standing {
+    pub enum LeaseStatus {
         /// Plan.
         Act,
         /// Nothing, until it is confirmed.
@@ -44,13 +44,13 @@
 /// Nodes take the lease only where they hear most others, so that one of those that the
 /// holder hears would know of it. Were all of them needed, one dead node would stop all
 /// repairs while the store is away.
-pub fn hears_enough(silences: impl Iterator<Item = Duration> + Clone) -> bool {
+pub fn hears_majority(silences: impl Iterator<Item = Duration> + Clone) -> bool {
     // A node that knows no other can't tell that it is alone from being cut off.
-    silences.clone().next().is_some() && are_most(silences, LEASE_TERM)
+    silences.clone().next().is_some() && is_majority(silences, LEASE_TERM)
 }
 
 /// Whether nodes heard within `time` are, with this one, more than half.
-pub fn are_most(silences: impl Iterator<Item = Duration>, time: Duration) -> bool {
+pub fn is_majority(silences: impl Iterator<Item = Duration>, time: Duration) -> bool {
     let (mut all, mut heard) = (1, 1);
     for silence in silences {
         all += 1;
@@ -62,7 +62,7 @@
 /// A holder's right to act.
 ///
 /// It is sure of the lease for [`LEASE_TERM`] after the store showed it as the holder, and
-/// while it [hears enough](hears_enough) other nodes. So planning goes on while the store is
+/// while it [hears enough](hears_majority) other nodes. So planning goes on while the store is
 /// away for all.
 #[derive(Clone, Debug)]
 pub struct Lease {
@@ -91,8 +91,8 @@
         self.paused.take_if(|woke| *woke <= asked);
     }
 
-    /// Whether the holder may plan at `now`, when [`hears_enough`] says `heard`.
-    pub fn step(&mut self, now: SinceBoot, heard: bool) -> Standing {
+    /// Whether the holder may plan at `now`, when [`hears_majority`] says `heard`.
+    pub fn update(&mut self, now: SinceBoot, heard: bool) -> LeaseStatus {
         if now.saturating_sub(self.stepped) > PAUSE {
             // What it heard before it stood still says nothing of now.
             self.paused = Some(now);
@@ -101,13 +101,13 @@
         let fresh = now.saturating_sub(self.confirmed) < LEASE_TERM;
         if self.paused.is_none() && (fresh || heard) {
             self.unsure = None;
-            return Standing::Act;
+            return LeaseStatus::Act;
         }
         let since = *self.unsure.get_or_insert(now);
         if now.saturating_sub(since) < PATIENCE {
-            Standing::Wait
+            LeaseStatus::Wait
         } else {
-            Standing::GiveUp
+            LeaseStatus::GiveUp
         }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Everything here is pure: it takes events and an instant and returns what to
 //! do. [`Catalog`] is the accepted configuration, [`Fleet`] what is known of
-//! hosts, [`Planner`] decides which hosts form a replica, [`place`] chooses the
+//! hosts, [`Planner`] decides which hosts form a replica, [`choose_host`] chooses the
 //! host of a request, [`RetryWindow`] bounds what is sent a second time, and [`Lease`]
 //! says for how long a planner may act.
 
@@ -28,29 +28,32 @@
 mod targets;
 
 pub use crate::catalog::{
-    Caller, CallerLimits, Catalog, Engine, EngineSpeed, Millionths, ModelSpec, Repeat, Route,
-    RouteRefusal, Service, StreamRules,
+    Caller, CallerLimits, Catalog, Engine, EngineSpeed, Millionths, ModelSpec, RetryPolicy, Route,
+    RouteError, Service, StreamRules,
 };
-pub use crate::cold::{ColdShares, ColdStart};
+pub use crate::cold::{ColdRateLimiter, ColdStart};
 pub use crate::ejection::{Ejection, EjectionBackoff};
 pub use crate::fleet::{EvacuationChange, Fleet, FleetChange, Replica};
 pub use crate::host::{Host, HostState, Membership, MembershipPhase};
-pub use crate::lease::{LEASE_TERM, Lease, SinceBoot, Standing, are_most, hears_enough};
-pub use crate::patience::CallerPatience;
-pub use crate::place::{Candidate, place};
+pub use crate::lease::{LEASE_TERM, Lease, LeaseStatus, SinceBoot, hears_majority, is_majority};
+pub use crate::patience::CallerTimeouts;
+pub use crate::place::{HostCandidate, choose_host};
 pub use crate::planner::{
-    Command, Formation, Loss, Order, OrderReply, Planner, PlannerTiming, Purpose, Step,
+    Command, Formation, FormationPhase, LossReason, Order, OrderReply, Planner, PlannerTiming,
+    Purpose,
 };
-pub use crate::rank::{LateRejection, Rank};
+pub use crate::rank::{LateRejection, Priority};
 pub use crate::rate::Rate;
-pub use crate::relay::{CatchUp, ListLog, ListParent, copy_source, first_read_delay, list_parent};
+pub use crate::relay::{
+    ChangeLog, ListParent, SyncUpdate, initial_read_delay, initial_sync_source, list_parent,
+};
 pub use crate::retry::{RetryBudget, RetryWindow};
 pub use crate::roles::{RoleCandidate, ranked_for_role, strongest};
 pub use crate::schedule::{
-    Ask, HeadKey, HeadLoad, OpenHead, Outcome, RequestKey, Scheduler, SchedulerState,
+    HeadKey, HeadLoad, OpenHead, PendingRequest, RequestKey, Scheduler, SchedulerState, SlotOutcome,
 };
 pub use crate::spill::{DomainLoad, choose_domain};
-pub use crate::stall::{Progress, StallRule};
-pub use crate::strain::Strain;
+pub use crate::stall::{StallThreshold, StreamActivity};
+pub use crate::strain::CpuOverload;
 pub use crate::success::SuccessRate;
 pub use crate::targets::{TargetOutcome, TargetStats};
--- a/crates/fleet/src/patience.rs
+++ b/crates/fleet/src/patience.rs
@@ -21,23 +21,23 @@
 ///
 /// Callers choose their own. Those that name clearly less than most have named more before.
 #[derive(Clone, Debug)]
-pub struct CallerPatience {
+pub struct CallerTimeouts {
     /// Requests by the part that they name.
     counts: [f32; CLASSES],
     /// Invariant: the sum of `counts`.
     total: f32,
 }
 
-impl Default for CallerPatience {
-    fn default() -> CallerPatience {
-        CallerPatience {
+impl Default for CallerTimeouts {
+    fn default() -> CallerTimeouts {
+        CallerTimeouts {
             counts: [0.0; CLASSES],
             total: 0.0,
         }
     }
 }
 
-impl CallerPatience {
+impl CallerTimeouts {
     /// Takes the timeout of a request on a route with the timeout `usual`.
     pub fn on_request(&mut self, named: Duration, usual: Duration) {
         let part = part(named, usual);
@@ -52,7 +52,7 @@
 
     /// How long ago the caller of a request that names `named` is likely to have sent its first
     /// attempt; zero for one that may be the first.
-    pub fn waited(&self, named: Duration, usual: Duration) -> Duration {
+    pub fn since_first_attempt(&self, named: Duration, usual: Duration) -> Duration {
         let part = part(named, usual);
         if part >= self.fence() {
             return Duration::ZERO;
--- a/crates/fleet/src/place.rs
+++ b/crates/fleet/src/place.rs
@@ -7,7 +7,7 @@
 
 value! {
     /// A host that could run a request.
-    pub struct Candidate {
+    pub struct HostCandidate {
         /// The host.
         pub host: HostId,
         /// Requests that run or wait there, as far as this node knows.
@@ -15,17 +15,17 @@
         /// Requests that it runs at once.
         pub slots: usize,
         /// Whether it is in this node's failure domain.
-        pub near: bool,
+        pub same_domain: bool,
         /// Recent failures: 0 for none, 1000 for nothing but failures.
-        pub failing_permille: u32,
+        pub failure_permille: u32,
     }
 }
 
-impl Candidate {
+impl HostCandidate {
     fn cost(&self) -> f64 {
         let fill = (self.load + 1) as f64 / self.slots.max(1) as f64;
-        let distance = if self.near { 0.0 } else { DISTANCE };
-        let failing = f64::from(self.failing_permille) / 250.0;
+        let distance = if self.same_domain { 0.0 } else { DISTANCE };
+        let failing = f64::from(self.failure_permille) / 250.0;
         fill + distance + failing
     }
 }
@@ -44,15 +44,16 @@
 /// chosen with its part of them: with fresh loads the emptiest host, with old ones nearly any.
 ///
 /// `pick` is any number from 0 up to 1; nodes that see the same must not draw the same.
-pub fn place<'c>(
-    candidates: impl IntoIterator<Item = &'c Candidate>,
+pub fn choose_host<'c>(
+    candidates: impl IntoIterator<Item = &'c HostCandidate>,
     unseen: f64,
     pick: f64,
-) -> Option<&'c Candidate> {
-    let mut open: Vec<(f64, &Candidate)> = candidates.into_iter().map(|c| (c.cost(), c)).collect();
+) -> Option<&'c HostCandidate> {
+    let mut open: Vec<(f64, &HostCandidate)> =
+        candidates.into_iter().map(|c| (c.cost(), c)).collect();
     open.sort_by(|a, b| a.0.total_cmp(&b.0));
     let level = level(&open, unseen * TURNOVER);
-    let part = |(cost, c): &(f64, &Candidate)| {
+    let part = |(cost, c): &(f64, &HostCandidate)| {
         if *cost > level + SAME {
             return 0.0;
         }
@@ -72,7 +73,7 @@
 
 /// The cost that all candidates below it reach once `unseen` requests were spread over them.
 /// `open` is sorted by cost.
-fn level(open: &[(f64, &Candidate)], unseen: f64) -> f64 {
+fn level(open: &[(f64, &HostCandidate)], unseen: f64) -> f64 {
     let mut level = open.first().map_or(0.0, |(cost, _)| *cost);
     let mut slots = 0.0;
     let mut left = unseen;
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -30,7 +30,7 @@
 use eelgrassmill_base::{Epoch, GroupId, HostId, ModelName, ServiceName, value};
 use smol_str::format_smolstr;
 
-pub use crate::planner::formation::{Formation, Loss, Purpose, Step};
+pub use crate::planner::formation::{Formation, FormationPhase, LossReason, Purpose};
 pub use crate::planner::order::{Command, Order, OrderReply};
 
 use crate::catalog::{ModelSpec, Service};
@@ -56,26 +56,26 @@
     /// Times of the planner.
     pub struct PlannerTiming {
         /// An order without an answer is sent again after this.
-        pub resend: Duration,
+        pub resend_interval: Duration,
         /// The same to a host that gives no answer at all, until it is no longer listed.
-        pub resend_silent: Duration,
+        pub silent_resend_interval: Duration,
         /// Between two questions to a host that is about to be ready. Entries of hosts
         /// come 200 to 300 ms late, which would be the larger part of a repair.
-        pub ask: Duration,
+        pub query_interval: Duration,
         /// An open replica whose members' entries say otherwise for this long is given
         /// up: entries lag behind orders, so a shorter time would end sound replicas.
-        pub entry_lag: Duration,
+        pub max_entry_lag: Duration,
         /// A planner that takes over forms nothing for this long: the lease of the one
         /// before, and the time that its last orders wait for answers.
-        pub settle: Duration,
+        pub takeover_delay: Duration,
         /// How long the members of a lost replica are waited for before others take their
         /// places: two orders' time.
-        pub leave: Duration,
+        pub leave_timeout: Duration,
         /// How long a replica serves on with a member that is leaving. Members stay for up
         /// to 10 s; what is left is for the head to finish its work.
-        pub stay: Duration,
+        pub max_leaving_time: Duration,
         /// How long a head may finish what runs when a member is leaving.
-        pub drain: Duration,
+        pub drain_timeout: Duration,
         /// The window of the bound on loads from the weight store.
         pub load_window: Duration,
     }
@@ -84,14 +84,14 @@
 impl Default for PlannerTiming {
     fn default() -> PlannerTiming {
         PlannerTiming {
-            resend: Duration::from_millis(300),
-            resend_silent: Duration::from_millis(1000),
-            ask: Duration::from_millis(120),
-            entry_lag: Duration::from_millis(1500),
-            settle: Duration::from_millis(1900),
-            leave: Duration::from_millis(700),
-            stay: Duration::from_millis(6000),
-            drain: Duration::from_millis(1500),
+            resend_interval: Duration::from_millis(300),
+            silent_resend_interval: Duration::from_millis(1000),
+            query_interval: Duration::from_millis(120),
+            max_entry_lag: Duration::from_millis(1500),
+            takeover_delay: Duration::from_millis(1900),
+            leave_timeout: Duration::from_millis(700),
+            max_leaving_time: Duration::from_millis(6000),
+            drain_timeout: Duration::from_millis(1500),
             load_window: Duration::from_secs(5),
         }
     }
@@ -123,7 +123,7 @@
     doubtful: BTreeSet<HostId>,
     /// Orders and questions under way or sent lately by the epoch that they are about, 0
     /// for none, and when.
-    sent: BTreeMap<(HostId, SentKind, Epoch), Instant>,
+    sent: BTreeMap<(HostId, MessageKind, Epoch), Instant>,
     /// Hosts that have been members of a replica of a model, by their start.
     primed: BTreeMap<HostId, (u64, ModelName)>,
     /// Spares that load a further model, and until when that may take.
@@ -146,13 +146,13 @@
 
 /// What was sent to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum SentKind {
+pub(crate) enum MessageKind {
     Join,
     Open,
     Close,
     Leave,
     Stage,
-    Question,
+    Query,
 }
 
 impl Planner {
@@ -186,9 +186,9 @@
     }
 
     /// Notes that a replica no longer serves.
-    pub fn replica_lost(&mut self, replica: &str, epoch: Epoch, loss: Loss, now: Instant) {
+    pub fn on_replica_lost(&mut self, replica: &str, epoch: Epoch, loss: LossReason, now: Instant) {
         let known = self.formations.get_mut(replica);
-        let serving = known.filter(|f| f.epoch == epoch && f.step == Step::Open);
+        let serving = known.filter(|f| f.epoch == epoch && f.phase == FormationPhase::Open);
         if let Some(f) = serving {
             f.lose(loss, now);
         }
@@ -231,7 +231,7 @@
         }
         // A formation that was given up while the order was under way stays given up:
         // taken back, it would serve without the member that it lost.
-        let step = formation.step;
+        let step = formation.phase;
         match (order, reply) {
             (Order::Join { .. }, None) => {
                 formation.unsettled.insert(host.clone());
@@ -240,21 +240,21 @@
                 formation.accepted.insert(host.clone());
             }
             (Order::Join { .. }, Some(OrderReply::Fenced | OrderReply::WrongHost))
-                if step == Step::Joining =>
+                if step == FormationPhase::Joining =>
             {
-                formation.lose(Loss::Refused(host.clone()), now);
+                formation.lose(LossReason::Refused(host.clone()), now);
             }
             (Order::Open { .. }, Some(OrderReply::Begun | OrderReply::Done))
-                if step == Step::Opening =>
+                if step == FormationPhase::Opening =>
             {
-                formation.enter(Step::Open, now);
+                formation.enter(FormationPhase::Open, now);
             }
             // It was ready, so it has been taken out of the formation. Told again and again,
             // it would never serve, and its hosts be bound for good.
             (Order::Open { .. }, Some(OrderReply::Conflict | OrderReply::WrongHost))
-                if step == Step::Opening =>
+                if step == FormationPhase::Opening =>
             {
-                formation.lose(Loss::Refused(host.clone()), now);
+                formation.lose(LossReason::Refused(host.clone()), now);
             }
             // A conflict means that it is no member, and another host at its address
             // that it is gone.
@@ -267,7 +267,7 @@
 
     /// Decides what to do now. `cold` while no request was ever served, when loads are
     /// quick and bounded by nothing.
-    pub fn step(
+    pub fn plan(
         &mut self,
         fleet: &Fleet,
         services: &[&Service],
@@ -314,7 +314,7 @@
         self.ask_doubtful(fleet, now, &mut commands);
         self.ask_silent(fleet, now, &mut commands);
         // Formations that were just decided are ordered at once.
-        let joining = |f: &Formation| f.step == Step::Joining && f.accepted.is_empty();
+        let joining = |f: &Formation| f.phase == FormationPhase::Joining && f.accepted.is_empty();
         let fresh: Vec<GroupId> = self
             .formations
             .values()
@@ -339,7 +339,7 @@
         self.unanswered.retain(|id, _| concerns(id));
         self.doubtful.retain(concerns);
         self.asked
-            .retain(|id, a| fleet.host(id).is_some_and(|h| h.born_ms == a.born_ms));
+            .retain(|id, a| fleet.host(id).is_some_and(|h| h.started_ms == a.born_ms));
         self.unsettled
             .retain(|_, at| now.saturating_duration_since(*at) < LATE_ORDERS);
         let recent = |at: Instant| now.saturating_duration_since(at) < SENT_MEMORY;
@@ -354,10 +354,10 @@
                 silence.listed = false;
                 bound.contains(id)
             }
-            Some(host) => silence.listed && host.born_ms == silence.born_ms,
+            Some(host) => silence.listed && host.started_ms == silence.born_ms,
         });
         self.primed
-            .retain(|id, (born, _)| fleet.host(id).is_some_and(|h| h.born_ms == *born));
+            .retain(|id, (born, _)| fleet.host(id).is_some_and(|h| h.started_ms == *born));
         for host in fleet.hosts() {
             let joined = host
                 .membership
@@ -367,8 +367,8 @@
                 continue;
             };
             let known = self.primed.get(&host.id);
-            if known.is_none_or(|(born, m)| *born != host.born_ms || m != model) {
-                let primed = (host.born_ms, model.clone());
+            if known.is_none_or(|(born, m)| *born != host.started_ms || m != model) {
+                let primed = (host.started_ms, model.clone());
                 self.primed.insert(host.id.clone(), primed);
             }
         }
@@ -380,7 +380,7 @@
     /// that was out of reach comes back as a member of one that was given up. Were such
     /// hosts taken as free, they could be given away while their replica serves.
     fn adopt(&mut self, fleet: &Fleet, services: &[&Service], now: Instant) {
-        let lag = self.timing.entry_lag;
+        let lag = self.timing.max_entry_lag;
         self.dissolved
             .retain(|_, dissolved| now.saturating_duration_since(dissolved.at) < lag);
         for replica in fleet.replicas() {
@@ -411,12 +411,12 @@
                 continue;
             };
             formation.accepted = formation.members.iter().cloned().collect();
-            formation.told_to_open = true;
+            formation.open_sent = true;
             if first.is_open_head() {
-                formation.enter(Step::Open, now);
+                formation.enter(FormationPhase::Open, now);
             }
             if !whole || self.own_epoch(replica.epoch) {
-                formation.lose(Loss::Incomplete, now);
+                formation.lose(LossReason::Incomplete, now);
             }
             self.formations.insert(formation);
         }
@@ -447,7 +447,7 @@
     /// Whether the planner before this one may still give orders, or hosts be about to show
     /// what it ordered.
     fn is_settling(&self, now: Instant) -> bool {
-        self.term > 1 && now.saturating_duration_since(self.began) < self.timing.settle
+        self.term > 1 && now.saturating_duration_since(self.began) < self.timing.takeover_delay
     }
 
     /// The formation that a host is a member of.
@@ -456,19 +456,19 @@
     }
 
     /// A member that is silent goes before one that is leaving and may still work.
-    fn worst_loss(&self, f: &Formation, fleet: &Fleet) -> Option<Loss> {
+    fn worst_loss(&self, f: &Formation, fleet: &Fleet) -> Option<LossReason> {
         let silent = f.members.iter().find(|m| self.silent.contains_key(*m));
         let lost = || f.members.iter().find_map(|m| self.is_lost(m, fleet));
-        silent.map(|m| Loss::Silent(m.clone())).or_else(lost)
+        silent.map(|m| LossReason::Silent(m.clone())).or_else(lost)
     }
 
-    fn is_lost(&self, host: &HostId, fleet: &Fleet) -> Option<Loss> {
+    fn is_lost(&self, host: &HostId, fleet: &Fleet) -> Option<LossReason> {
         if self.silent.contains_key(host) {
-            return Some(Loss::Silent(host.clone()));
+            return Some(LossReason::Silent(host.clone()));
         }
         match fleet.host(host) {
-            None => Some(Loss::Gone(host.clone())),
-            Some(h) if !h.is_ready() => Some(Loss::Leaving(host.clone())),
+            None => Some(LossReason::Gone(host.clone())),
+            Some(h) if !h.is_ready() => Some(LossReason::Leaving(host.clone())),
             Some(_) => None,
         }
     }
--- a/crates/fleet/src/planner/advance.rs
+++ b/crates/fleet/src/planner/advance.rs
@@ -7,7 +7,7 @@
 use crate::catalog::{ModelSpec, Service};
 use crate::fleet::Fleet;
 use crate::host::{Host, MembershipPhase};
-use crate::planner::formation::{Formation, Loss, Purpose, Step};
+use crate::planner::formation::{Formation, FormationPhase, LossReason, Purpose};
 use crate::planner::order::{Command, Order};
 use crate::planner::{Dissolved, Planner, find_model};
 
@@ -26,17 +26,17 @@
             return;
         };
         let lost = self.worst_loss(&formation, at.fleet);
-        let keep = match formation.step {
-            Step::Joining | Step::Opening => {
+        let keep = match formation.phase {
+            FormationPhase::Joining | FormationPhase::Opening => {
                 let model = find_model(at.services, &formation.service, &formation.model);
                 self.advance_joining(&mut formation, lost, model, at, commands)
             }
-            Step::Open => {
+            FormationPhase::Open => {
                 self.advance_open(&mut formation, lost, at);
                 true
             }
-            Step::Draining => self.advance_draining(&mut formation, lost, at, commands),
-            Step::Dissolving => self.advance_dissolving(&mut formation, at, commands),
+            FormationPhase::Draining => self.advance_draining(&mut formation, lost, at, commands),
+            FormationPhase::Dissolving => self.advance_dissolving(&mut formation, at, commands),
         };
         if keep {
             self.formations.put_back(formation);
@@ -49,7 +49,7 @@
     fn advance_joining(
         &mut self,
         f: &mut Formation,
-        lost: Option<Loss>,
+        lost: Option<LossReason>,
         model: Option<&ModelSpec>,
         at: &Moment<'_>,
         commands: &mut Vec<Command>,
@@ -59,8 +59,8 @@
         }
         if lost.is_some() || f.loss.is_some() {
             // The order to open may be under way: until the head has left it may serve.
-            if f.told_to_open {
-                f.lose(lost.unwrap_or(Loss::Incomplete), at.now);
+            if f.open_sent {
+                f.lose(lost.unwrap_or(LossReason::Incomplete), at.now);
                 return true;
             }
             return false;
@@ -79,7 +79,7 @@
             let expected = f.since + self.join_time(host, model, at.now);
             // Before there are requests, entries are early enough.
             let patience = if at.cold {
-                self.timing.entry_lag
+                self.timing.max_entry_lag
             } else {
                 Duration::ZERO
             };
@@ -96,7 +96,7 @@
     /// Whether a member has said that it is ready; notes it if it says so now.
     fn note_ready(&mut self, f: &mut Formation, host: &Host) -> bool {
         if f.is_ready_member(host) {
-            let joined = (host.born_ms, f.model.clone());
+            let joined = (host.started_ms, f.model.clone());
             self.primed.insert(host.id.clone(), joined);
             f.ready.insert(host.id.clone());
         }
@@ -112,12 +112,12 @@
             .host(&head)
             .is_some_and(|h| f.is_member(h) && h.is_open_head())
         {
-            f.enter(Step::Open, at.now);
+            f.enter(FormationPhase::Open, at.now);
             return;
         }
-        f.told_to_open = true;
-        if f.step != Step::Opening {
-            f.enter(Step::Opening, at.now);
+        f.open_sent = true;
+        if f.phase != FormationPhase::Opening {
+            f.enter(FormationPhase::Opening, at.now);
         }
         let open = Order::Open {
             replica: f.id.clone(),
@@ -131,7 +131,7 @@
     fn advance_priming(
         &mut self,
         f: &mut Formation,
-        lost: Option<Loss>,
+        lost: Option<LossReason>,
         model: Option<&ModelSpec>,
         at: &Moment<'_>,
         commands: &mut Vec<Command>,
@@ -150,25 +150,25 @@
         true
     }
 
-    fn advance_open(&mut self, f: &mut Formation, lost: Option<Loss>, at: &Moment<'_>) {
+    fn advance_open(&mut self, f: &mut Formation, lost: Option<LossReason>, at: &Moment<'_>) {
         if let Some(loss) = lost {
             // A host whose entry vanished may be leaving without a word, and serve on.
-            let planned = matches!(loss, Loss::Leaving(_) | Loss::Gone(_));
+            let planned = matches!(loss, LossReason::Leaving(_) | LossReason::Gone(_));
             if planned && self.may_stay(f, at) {
                 return;
             }
             f.lose(loss, at.now);
             if planned {
-                f.enter(Step::Draining, at.now);
+                f.enter(FormationPhase::Draining, at.now);
             }
             return;
         }
-        if at.now.saturating_duration_since(f.since) < self.timing.entry_lag {
+        if at.now.saturating_duration_since(f.since) < self.timing.max_entry_lag {
             return;
         }
         if let Some(head) = f.head().filter(|_| self.needs_another_head(f, at)) {
-            f.lose(Loss::Rejects(head.clone()), at.now);
-            f.enter(Step::Draining, at.now);
+            f.lose(LossReason::Rejects(head.clone()), at.now);
+            f.enter(FormationPhase::Draining, at.now);
             return;
         }
         for member in &f.members {
@@ -176,15 +176,15 @@
                 continue;
             };
             if !f.is_member(host) {
-                f.lose(Loss::Elsewhere(member.clone()), at.now);
+                f.lose(LossReason::Elsewhere(member.clone()), at.now);
                 return;
             }
         }
         let head = f.head().and_then(|h| at.fleet.host(h));
         match head.and_then(|h| h.membership.as_ref()).map(|m| m.phase) {
-            Some(MembershipPhase::Broken) => f.lose(Loss::Broken, at.now),
+            Some(MembershipPhase::Broken) => f.lose(LossReason::Broken, at.now),
             // A late order closed it: open it again.
-            Some(MembershipPhase::Ready) => f.enter(Step::Joining, at.now),
+            Some(MembershipPhase::Ready) => f.enter(FormationPhase::Joining, at.now),
             _ => {}
         }
     }
@@ -199,7 +199,7 @@
             .head()
             .is_some_and(|h| self.is_lost(h, at.fleet).is_none());
         let since = *f.leaving_since.get_or_insert(at.now);
-        let long = at.now.saturating_duration_since(since) >= self.timing.stay;
+        let long = at.now.saturating_duration_since(since) >= self.timing.max_leaving_time;
         head_stays && !long && !self.can_replace(f, at.fleet)
     }
 
@@ -221,7 +221,7 @@
     fn advance_draining(
         &mut self,
         f: &mut Formation,
-        lost: Option<Loss>,
+        lost: Option<LossReason>,
         at: &Moment<'_>,
         commands: &mut Vec<Command>,
     ) -> bool {
@@ -234,10 +234,10 @@
             phase,
             Some(MembershipPhase::Ready | MembershipPhase::Broken)
         );
-        let over = at.now.saturating_duration_since(f.since) >= self.timing.drain;
-        let worse = lost.is_some_and(|l| matches!(l, Loss::Silent(_)));
+        let over = at.now.saturating_duration_since(f.since) >= self.timing.drain_timeout;
+        let worse = lost.is_some_and(|l| matches!(l, LossReason::Silent(_)));
         if finished || over || worse {
-            f.enter(Step::Dissolving, at.now);
+            f.enter(FormationPhase::Dissolving, at.now);
             return self.advance_dissolving(f, at, commands);
         }
         if phase.is_none_or(|p| p == MembershipPhase::Open) {
@@ -261,7 +261,8 @@
         at: &Moment<'_>,
         commands: &mut Vec<Command>,
     ) -> bool {
-        let entries_are_new = at.now.saturating_duration_since(f.since) >= self.timing.entry_lag;
+        let entries_are_new =
+            at.now.saturating_duration_since(f.since) >= self.timing.max_entry_lag;
         f.gone.retain(|m| at.fleet.host(m).is_none());
         for member in f.bound().cloned().collect::<Vec<_>>() {
             let silent = self.silent.contains_key(&member);
@@ -270,7 +271,7 @@
                     f.gone.insert(member);
                     continue;
                 }
-                self.order_to_leave(f, &member, self.timing.resend, at.now, commands);
+                self.order_to_leave(f, &member, self.timing.resend_interval, at.now, commands);
                 continue;
             };
             let reborn = f
@@ -282,9 +283,9 @@
                 continue;
             }
             let every = if silent {
-                self.timing.resend_silent
+                self.timing.silent_resend_interval
             } else {
-                self.timing.resend
+                self.timing.resend_interval
             };
             self.order_to_leave(f, &member, every, at.now, commands);
         }
--- a/crates/fleet/src/planner/choose.rs
+++ b/crates/fleet/src/planner/choose.rs
@@ -15,7 +15,7 @@
 use crate::catalog::{Engine, ModelSpec, Service};
 use crate::fleet::Fleet;
 use crate::host::Host;
-use crate::planner::formation::{Formation, Purpose, Step};
+use crate::planner::formation::{Formation, FormationPhase, Purpose};
 use crate::planner::{Command, Planner};
 
 /// A load that was ordered is ordered again after this many times its usual time: beyond
@@ -59,7 +59,7 @@
             }
         }
         // Before requests come, replicas that serve are loaded first.
-        let waits = |f: &Formation| f.purpose == Purpose::Serve && f.step != Step::Open;
+        let waits = |f: &Formation| f.purpose == Purpose::Serve && f.phase != FormationPhase::Open;
         if view.cold && self.formations.values().any(waits) {
             return;
         }
@@ -173,10 +173,10 @@
     /// between would take spares in their place and leave none.
     fn is_being_freed(&self, fabric: &FabricDomain, now: Instant) -> bool {
         let waits_for = |m: &HostId| !self.silent.contains_key(m);
-        let leaving = |f: &&Formation| f.step == Step::Dissolving && f.fabric == *fabric;
+        let leaving = |f: &&Formation| f.phase == FormationPhase::Dissolving && f.fabric == *fabric;
         let mut leaving = self.formations.values().filter(leaving);
         leaving.any(|f| {
-            let recent = now.saturating_duration_since(f.since) < self.timing.leave;
+            let recent = now.saturating_duration_since(f.since) < self.timing.leave_timeout;
             recent && f.bound().any(waits_for)
         })
     }
@@ -284,15 +284,15 @@
             return super::PRIMED_JOIN;
         }
         if host.staged.contains(&model.name) {
-            return model.warm;
+            return model.warm_load_time;
         }
         match self.staging.get(&host.id) {
             Some((staging, until)) if *staging == model.name => {
-                let began_to_end = model.load * (STAGE_PATIENCE - 1);
+                let began_to_end = model.load_time * (STAGE_PATIENCE - 1);
                 let end = *until - began_to_end;
-                end.saturating_duration_since(now) + model.warm
+                end.saturating_duration_since(now) + model.warm_load_time
             }
-            _ => model.load + model.warm,
+            _ => model.load_time + model.warm_load_time,
         }
     }
 
--- a/crates/fleet/src/planner/formation.rs
+++ b/crates/fleet/src/planner/formation.rs
@@ -19,7 +19,7 @@
     }
 
     /// How far a formation is.
-    pub enum Step {
+    pub enum FormationPhase {
         /// Members join.
         Joining,
         /// All members are ready, and the head was told to serve.
@@ -35,7 +35,7 @@
 
 value! {
     /// Why a replica was given up.
-    pub enum Loss {
+    pub enum LossReason {
         /// A member gives no answer.
         Silent(HostId),
         /// A member is no longer listed.
@@ -77,11 +77,11 @@
     /// What it is for.
     pub purpose: Purpose,
     /// How far it is.
-    pub step: Step,
+    pub phase: FormationPhase,
     /// Since when.
     pub since: Instant,
     /// Why it was given up.
-    pub loss: Option<Loss>,
+    pub loss: Option<LossReason>,
     /// Since when a member is leaving, while it serves on.
     pub(crate) leaving_since: Option<Instant>,
     /// Members that took the order to join.
@@ -91,7 +91,7 @@
     /// Members that said that they are ready.
     pub(crate) ready: BTreeSet<HostId>,
     /// Whether its head was ever told to serve: such an order may be carried out late.
-    pub(crate) told_to_open: bool,
+    pub(crate) open_sent: bool,
     /// Each member's start and address when it was chosen. The address is needed also
     /// after its entry is gone: a host whose entry vanished may serve on for seconds.
     pub(crate) member_info: BTreeMap<HostId, MemberInfo>,
@@ -114,7 +114,7 @@
 impl MemberInfo {
     fn of(host: &Host) -> MemberInfo {
         MemberInfo {
-            born_ms: host.born_ms,
+            born_ms: host.started_ms,
             address: host.address.clone(),
         }
     }
@@ -122,7 +122,7 @@
     /// Whether the host has started again since. An entry without a start says nothing of
     /// that; taken for a new start it would free a member whose head serves.
     pub(crate) fn is_reborn(&self, host: &Host) -> bool {
-        self.born_ms != 0 && host.born_ms != 0 && self.born_ms != host.born_ms
+        self.born_ms != 0 && host.started_ms != 0 && self.born_ms != host.started_ms
     }
 }
 
@@ -145,14 +145,14 @@
             fabric: head.fabric.clone(),
             members: hosts.iter().map(|h| h.id.clone()).collect(),
             purpose: Purpose::Serve,
-            step: Step::Joining,
+            phase: FormationPhase::Joining,
             since: now,
             loss: None,
             leaving_since: None,
             accepted: BTreeSet::new(),
             unsettled: BTreeSet::new(),
             ready: BTreeSet::new(),
-            told_to_open: false,
+            open_sent: false,
             member_info: hosts.iter().map(info).collect(),
             left: BTreeMap::new(),
             gone: BTreeSet::new(),
@@ -196,7 +196,7 @@
     /// Two orders that are both carried out late would otherwise tear it away: the one to
     /// join here, then the one to join elsewhere. A head that is gone holds nobody.
     pub(crate) fn holds(&self, host: &HostId) -> bool {
-        let dissolving = self.step == Step::Dissolving;
+        let dissolving = self.phase == FormationPhase::Dissolving;
         dissolving && self.unsettled.contains(host) && self.bound().next() == self.head()
     }
 
@@ -217,15 +217,15 @@
         ready && self.is_member(host)
     }
 
-    pub(crate) fn enter(&mut self, step: Step, now: Instant) {
-        self.step = step;
+    pub(crate) fn enter(&mut self, step: FormationPhase, now: Instant) {
+        self.phase = step;
         self.since = now;
     }
 
     /// Gives it up.
-    pub(crate) fn lose(&mut self, loss: Loss, now: Instant) {
+    pub(crate) fn lose(&mut self, loss: LossReason, now: Instant) {
         self.loss = Some(loss);
-        self.enter(Step::Dissolving, now);
+        self.enter(FormationPhase::Dissolving, now);
     }
 
     pub(crate) fn join(&self) -> Order {
--- a/crates/fleet/src/planner/knowledge.rs
+++ b/crates/fleet/src/planner/knowledge.rs
@@ -39,10 +39,10 @@
 
 impl Planner {
     /// Notes that a host gives no answer though others do.
-    pub fn host_silent(&mut self, host: &HostId, fleet: &Fleet) {
+    pub fn mark_silent(&mut self, host: &HostId, fleet: &Fleet) {
         let entry = fleet.host(host);
         let silence = Silence {
-            born_ms: entry.map_or(0, |h| h.born_ms),
+            born_ms: entry.map_or(0, |h| h.started_ms),
             listed: entry.is_some(),
         };
         self.silent.entry(host.clone()).or_insert(silence);
@@ -52,12 +52,12 @@
     /// another host must have answered, so that nothing is to be concluded from it.
     pub fn on_report(&mut self, told: &Host, fleet: &Fleet, now: Instant) -> bool {
         if !self.is_own_word(told, fleet) {
-            self.host_unanswered(&told.id, fleet);
+            self.on_unanswered(&told.id, fleet);
             return false;
         }
         if !self.is_settling(now) {
             let asked = Asked {
-                born_ms: told.born_ms,
+                born_ms: told.started_ms,
                 at: now,
             };
             self.asked.insert(told.id.clone(), asked);
@@ -88,11 +88,11 @@
     }
 
     /// Notes that a host was not reached or did not answer a question.
-    pub fn host_unanswered(&mut self, host: &HostId, fleet: &Fleet) {
+    pub fn on_unanswered(&mut self, host: &HostId, fleet: &Fleet) {
         let count = self.unanswered.entry(host.clone()).or_default();
         *count += 1;
         if *count >= MAX_UNANSWERED {
-            self.host_silent(host, fleet);
+            self.mark_silent(host, fleet);
         }
     }
 
--- a/crates/fleet/src/planner/order.rs
+++ b/crates/fleet/src/planner/order.rs
@@ -4,7 +4,7 @@
 
 use smol_str::SmolStr;
 
-use crate::planner::SentKind;
+use crate::planner::MessageKind;
 
 value! {
     /// An order to one host.
@@ -59,8 +59,8 @@
             /// This order.
             order: Order,
         },
-        /// Ask a host what it holds.
-        Ask {
+        /// Ask a host for its state.
+        Query {
             /// The host.
             host: HostId,
         },
@@ -97,13 +97,13 @@
         }
     }
 
-    pub(crate) fn kind(&self) -> SentKind {
+    pub(crate) fn kind(&self) -> MessageKind {
         match self {
-            Order::Join { .. } => SentKind::Join,
-            Order::Open { .. } => SentKind::Open,
-            Order::Close { .. } => SentKind::Close,
-            Order::Leave { .. } => SentKind::Leave,
-            Order::Stage { .. } => SentKind::Stage,
+            Order::Join { .. } => MessageKind::Join,
+            Order::Open { .. } => MessageKind::Open,
+            Order::Close { .. } => MessageKind::Close,
+            Order::Leave { .. } => MessageKind::Leave,
+            Order::Stage { .. } => MessageKind::Stage,
         }
     }
 }
--- a/crates/fleet/src/planner/ready.rs
+++ b/crates/fleet/src/planner/ready.rs
@@ -30,7 +30,7 @@
         if busy || self.holds(host, model) || !self.take_loads(1, view) {
             return;
         }
-        let until = view.now + model.load * STAGE_PATIENCE;
+        let until = view.now + model.load_time * STAGE_PATIENCE;
         self.staging
             .insert(host.id.clone(), (model.name.clone(), until));
         commands.push(Command::Order {
@@ -120,7 +120,7 @@
             return;
         }
         for host in spares {
-            if !view.cold && self.loads_under_way(view) * 2 >= view.engine.loads_at_once {
+            if !view.cold && self.loads_under_way(view) * 2 >= view.engine.max_concurrent_loads {
                 return;
             }
             let primed = self.primed_model(host);
--- a/crates/fleet/src/planner/rejecting.rs
+++ b/crates/fleet/src/planner/rejecting.rs
@@ -7,7 +7,7 @@
 
 use crate::planner::Planner;
 use crate::planner::advance::Moment;
-use crate::planner::formation::{Formation, Step};
+use crate::planner::formation::{Formation, FormationPhase};
 
 /// How long a head rejects requests before its replica is formed anew: heads that are only
 /// full for a moment must not be given up.
@@ -58,7 +58,7 @@
 
 impl Planner {
     /// Notes that a head rejects all requests although it has room.
-    pub fn head_rejects(&mut self, head: &HostId, now: Instant) {
+    pub fn on_head_rejecting(&mut self, head: &HostId, now: Instant) {
         self.rejecting.reported(head, now);
     }
 
@@ -74,7 +74,11 @@
         let is_fit =
             |m: &HostId| !self.rejecting.is_unfit(m) && self.is_lost(m, at.fleet).is_none();
         let given_up = |o: &Formation| {
-            o.fabric == f.fabric && matches!(o.step, Step::Draining | Step::Dissolving)
+            o.fabric == f.fabric
+                && matches!(
+                    o.phase,
+                    FormationPhase::Draining | FormationPhase::Dissolving
+                )
         };
         others.any(is_fit) && !self.formations.values().any(given_up)
     }
--- a/crates/fleet/src/planner/send.rs
+++ b/crates/fleet/src/planner/send.rs
@@ -9,7 +9,7 @@
 use crate::host::Host;
 use crate::planner::formation::Formation;
 use crate::planner::order::{Command, Order};
-use crate::planner::{Planner, SentKind};
+use crate::planner::{MessageKind, Planner};
 
 /// Most hosts that are asked in one step because nothing is known of them. Answers wake the
 /// planner within milliseconds, so 900 hosts take well under a second.
@@ -63,7 +63,7 @@
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
-        self.send_every(order, f, host, self.timing.resend, now, commands);
+        self.send_every(order, f, host, self.timing.resend_interval, now, commands);
     }
 
     pub(super) fn send_every(
@@ -89,8 +89,8 @@
     }
 
     pub(super) fn ask(&mut self, host: &HostId, now: Instant, commands: &mut Vec<Command>) {
-        if self.claim(host, SentKind::Question, 0, self.timing.ask, now) {
-            commands.push(Command::Ask { host: host.clone() });
+        if self.claim(host, MessageKind::Query, 0, self.timing.query_interval, now) {
+            commands.push(Command::Query { host: host.clone() });
         }
     }
 
@@ -134,8 +134,14 @@
     pub(super) fn ask_silent(&mut self, fleet: &Fleet, now: Instant, commands: &mut Vec<Command>) {
         let listed = self.silent.keys().filter(|id| fleet.host(id).is_some());
         for host in listed.cloned().collect::<Vec<_>>() {
-            if self.claim(&host, SentKind::Question, 0, self.timing.resend_silent, now) {
-                commands.push(Command::Ask { host });
+            if self.claim(
+                &host,
+                MessageKind::Query,
+                0,
+                self.timing.silent_resend_interval,
+                now,
+            ) {
+                commands.push(Command::Query { host });
             }
         }
     }
@@ -147,7 +153,7 @@
     pub(super) fn claim(
         &mut self,
         host: &HostId,
-        kind: SentKind,
+        kind: MessageKind,
         epoch: Epoch,
         every: Duration,
         now: Instant,
--- a/crates/fleet/src/rank.rs
+++ b/crates/fleet/src/rank.rs
@@ -9,7 +9,7 @@
 
 value! { copy
     /// Who goes first.
-    pub enum Rank {
+    pub enum Priority {
         /// A stream that continues elsewhere: its caller has part of the answer and leaves soon.
         Resumed,
         /// One that can be on time, by urgency.
@@ -19,19 +19,19 @@
     }
 }
 
-impl Rank {
+impl Priority {
     /// The rank of a request that has just come.
-    pub fn first(resumed: bool, urgency: u8) -> Rank {
+    pub fn first(resumed: bool, urgency: u8) -> Priority {
         if resumed {
-            Rank::Resumed
+            Priority::Resumed
         } else {
-            Rank::OnTime(urgency)
+            Priority::OnTime(urgency)
         }
     }
 
     /// Whether it can't be on time any more.
     pub fn is_late(self) -> bool {
-        matches!(self, Rank::Late(_))
+        matches!(self, Priority::Late(_))
     }
 }
 
@@ -46,14 +46,14 @@
 
 impl LateRejection {
     /// Notes that a request got a slot, or none in all its time.
-    pub fn ended(&mut self, rank: Rank, served: bool, now: Instant) {
+    pub fn on_wait_ended(&mut self, rank: Priority, served: bool, now: Instant) {
         if rank.is_late() {
             self.until = (!served).then_some(now + LATE_REJECTION_PERIOD);
         }
     }
 
     /// Whether a request of this rank is rejected at once.
-    pub fn holds_for(&self, rank: Rank, now: Instant) -> bool {
+    pub fn applies_to(&self, rank: Priority, now: Instant) -> bool {
         rank.is_late() && self.until.is_some_and(|until| now < until)
     }
 }
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -89,7 +89,7 @@
 
 /// The node that a node without lists asks for its first copy: one of its own failure domain, or any
 /// where it knows none there. `pick` is any number from 0 up to 1; nodes must not draw the same.
-pub fn copy_source<'n>(
+pub fn initial_sync_source<'n>(
     me: RoleCandidate<'n>,
     others: impl IntoIterator<Item = RoleCandidate<'n>>,
     pick: f64,
@@ -105,7 +105,7 @@
 ///
 /// Nodes that start together know each other before they have lists. One of each failure domain
 /// reads the store first, the next one [`READ_SPACING`] later, and so on until copies are there.
-pub fn first_read_delay<'n>(
+pub fn initial_read_delay<'n>(
     me: RoleCandidate<'n>,
     others: impl IntoIterator<Item = RoleCandidate<'n>>,
 ) -> Duration {
@@ -120,7 +120,7 @@
 
 value! {
     /// What brings a node that has a list up to some version up to date.
-    pub enum CatchUp {
+    pub enum SyncUpdate {
         /// These changes, in order.
         Delta(Vec<Vec<u8>>),
         /// More than is kept: the whole list has to be told.
@@ -138,7 +138,7 @@
 
 /// The latest changes of a list, as this node learned of them.
 #[derive(Clone, Debug, Default)]
-pub struct ListLog {
+pub struct ChangeLog {
     /// Who has this version lacks nothing older than `batches`.
     from: u64,
     /// Invariant: in the order of their versions.
@@ -148,7 +148,7 @@
     as_of: Option<Instant>,
 }
 
-impl ListLog {
+impl ChangeLog {
     /// The list's version here; 0 for none.
     pub fn version(&self) -> u64 {
         self.version
@@ -160,7 +160,7 @@
     }
 
     /// Takes the changes up to `version`, as the list was at `as_of`.
-    pub fn take(&mut self, changes: Vec<Vec<u8>>, version: u64, as_of: Instant, now: Instant) {
+    pub fn append(&mut self, changes: Vec<Vec<u8>>, version: u64, as_of: Instant, now: Instant) {
         self.seen(version, as_of);
         if !changes.is_empty() {
             let at = now;
@@ -177,7 +177,7 @@
     }
 
     /// Notes that the whole list was read: no change before `version` is known.
-    pub fn take_whole(&mut self, version: u64, as_of: Instant) {
+    pub fn reset(&mut self, version: u64, as_of: Instant) {
         self.batches.clear();
         self.from = version;
         self.seen(version, as_of);
@@ -192,11 +192,11 @@
     ///
     /// A batch whose beginning the node has already is told whole: taken in order, its
     /// changes lead to the same end.
-    pub fn after(&self, since: u64) -> CatchUp {
+    pub fn changes_since(&self, since: u64) -> SyncUpdate {
         if since < self.from || since == 0 || self.as_of.is_none() {
-            return CatchUp::Snapshot;
+            return SyncUpdate::Snapshot;
         }
         let newer = self.batches.iter().filter(|b| b.version > since);
-        CatchUp::Delta(newer.flat_map(|b| b.changes.iter().cloned()).collect())
+        SyncUpdate::Delta(newer.flat_map(|b| b.changes.iter().cloned()).collect())
     }
 }
--- a/crates/fleet/src/retry.rs
+++ b/crates/fleet/src/retry.rs
@@ -15,7 +15,7 @@
         /// Callers' requests.
         pub requests: usize,
         /// Repeats taken from the budget.
-        pub repeats: usize,
+        pub retries: usize,
         /// Repeats that the budget permits.
         pub permitted: usize,
     }
@@ -68,9 +68,9 @@
     }
 
     /// Takes one repeat from the budget, if there is one left among `nodes` nodes.
-    pub fn try_repeat(&mut self, nodes: usize, now: Instant) -> bool {
+    pub fn try_retry(&mut self, nodes: usize, now: Instant) -> bool {
         let budget = self.budget(nodes, now);
-        let left = budget.repeats < budget.permitted;
+        let left = budget.retries < budget.permitted;
         if left {
             self.repeats.push_back(now);
         }
@@ -84,7 +84,7 @@
         let permitted = self.ratio * self.requests.len() as f64 + own_slack;
         RetryBudget {
             requests: self.requests.len(),
-            repeats: self.repeats.len(),
+            retries: self.repeats.len(),
             permitted: (USED_PART * permitted) as usize,
         }
     }
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -20,7 +20,7 @@
 
 use crate::catalog::EngineSpeed;
 use crate::cold::ColdStart;
-use crate::rank::{LateRejection, Rank};
+use crate::rank::{LateRejection, Priority};
 use crate::rate::Rate;
 use crate::schedule::head::{Demand, HeadWork};
 use crate::schedule::queue::{Position, Queue};
@@ -74,21 +74,21 @@
         /// Its failure domain.
         pub failure_domain: FailureDomain,
         /// Requests that an earlier scheduler reported to have assigned to it.
-        pub reported: usize,
+        pub inherited_requests: usize,
         /// Requests that nodes placed there without a scheduler.
-        pub unscheduled: usize,
+        pub unscheduled_requests: usize,
         /// Set while it is cold.
         pub cold: Option<ColdStart>,
     }
 
     /// A request that needs a slot.
-    pub struct Ask {
+    pub struct PendingRequest {
         /// Who asks.
         pub key: RequestKey,
         /// The asking node's failure domain.
         pub failure_domain: FailureDomain,
         /// Prompt tokens to be read.
-        pub prompt: u64,
+        pub prompt_tokens: u64,
         /// Whether it goes on after its replica was lost.
         pub resumed: bool,
         /// 0 is the most urgent.
@@ -96,9 +96,9 @@
         /// Until then it can be on time.
         pub on_time_until: Instant,
         /// Until then it is worth waiting.
-        pub until: Instant,
+        pub deadline: Instant,
         /// The longest pause of a stream of its kind that is on time.
-        pub pause: Duration,
+        pub max_event_gap: Duration,
         /// Hosts that it is not to be sent to while there is another.
         pub avoid: SmallVec<[HostId; 4]>,
     }
@@ -106,7 +106,7 @@
 
 value! {
     /// What becomes of a request.
-    pub enum Outcome {
+    pub enum SlotOutcome {
         /// It is to be sent to this head.
         Granted(HeadKey),
         /// No slot became free in time.
@@ -137,7 +137,7 @@
         /// Requests that wait.
         pub waiting: usize,
         /// Time from a grant to its first event, a moving average.
-        pub lead: Duration,
+        pub first_event_latency: Duration,
     }
 }
 
@@ -212,7 +212,7 @@
     }
 
     /// The open heads, and those that still have requests.
-    pub fn loads(&self, now: Instant) -> BTreeMap<&HeadKey, HeadLoad> {
+    pub fn head_loads(&self, now: Instant) -> BTreeMap<&HeadKey, HeadLoad> {
         let inherited = self.inherited.iter().flat_map(BTreeMap::keys);
         let loads = self.work.keys().chain(inherited).map(|key| {
             let load = HeadLoad {
@@ -245,35 +245,35 @@
             requests: heads.iter().map(|h| self.requests_of(h, now)).sum(),
             rejecting: heads.iter().filter(rejects).count(),
             waiting: self.queue.len(),
-            lead: self.lead,
+            first_event_latency: self.lead,
         }
     }
 
     /// Requests at a head, whoever sent them.
     fn requests_of(&self, head: &OpenHead, now: Instant) -> usize {
-        self.requests_at(&head.key, now) + head.unscheduled
+        self.requests_at(&head.key, now) + head.unscheduled_requests
     }
 
     /// Requests that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
     /// Takes a request that needs a slot, unless it waits already. Whether it did.
-    pub fn ask(&mut self, ask: Ask, now: Instant) -> bool {
+    pub fn enqueue(&mut self, ask: PendingRequest, now: Instant) -> bool {
         if self.queue.contains(&ask.key) {
             return false;
         }
         if now < ask.on_time_until {
             self.arrivals.on_event(now);
         }
-        let rank = Rank::first(ask.resumed, ask.urgency);
+        let rank = Priority::first(ask.resumed, ask.urgency);
         self.queue.push(rank, ask);
         true
     }
 
     /// Notes that the first event of a request has come.
-    pub fn started(&mut self, key: &RequestKey, now: Instant) {
+    pub fn on_first_event(&mut self, key: &RequestKey, now: Instant) {
         if let Some(assigned) = self.assigned.get(key).filter(|p| !p.began) {
             let lead = now.saturating_duration_since(assigned.at);
             self.lead = (self.lead * (LEAD_MEMORY - 1) + lead) / LEAD_MEMORY;
@@ -317,7 +317,7 @@
     }
 
     /// Notes that a request has ended or been given up, whether it has a slot or waits.
-    pub fn released(&mut self, key: &RequestKey) {
+    pub fn release(&mut self, key: &RequestKey) {
         self.read(key);
         self.queue.remove_key(key);
         let Some(assigned) = self.assigned.remove(key) else {
@@ -335,35 +335,35 @@
     }
 
     /// Notes that a head refused a request, which is assigned nowhere any more.
-    pub fn rejected(&mut self, key: &RequestKey, now: Instant) {
+    pub fn on_rejected(&mut self, key: &RequestKey, now: Instant) {
         if let Some(assigned) = self.assigned.get(key) {
             let work = self.work.entry(assigned.head.clone()).or_default();
             work.ejection.rejected(assigned.at, work.unaccepted, now);
         }
-        self.released(key);
+        self.release(key);
     }
 
     /// Notes that a head failed a request before its first event.
     ///
     /// Its slot is free at once, so that a head that fails everything looks like the emptiest one.
     /// Counts as a rejection if the head fails more than the others do.
-    pub fn failed(&mut self, key: &RequestKey, now: Instant) {
+    pub fn on_failed(&mut self, key: &RequestKey, now: Instant) {
         let Some(head) = self.assigned.get(key).map(|a| a.head.clone()) else {
-            return self.released(key);
+            return self.release(key);
         };
         let work = self.work.entry(head.clone()).or_default();
         work.success.on_failed(now);
         let success = work.success;
         let others = self.work.iter().filter(|(other, _)| **other != head);
         if success.is_outlier(others.map(|(_, work)| &work.success), now) {
-            self.rejected(key, now);
+            self.on_rejected(key, now);
         } else {
-            self.released(key);
+            self.release(key);
         }
     }
 
     /// Forgets the requests of a node that is gone.
-    pub fn node_gone(&mut self, node: &str) {
+    pub fn remove_node(&mut self, node: &str) {
         let of_node = |key: &&RequestKey| key.node == node;
         let keys: BTreeSet<RequestKey> = self
             .assigned
@@ -373,15 +373,16 @@
             .cloned()
             .collect();
         for key in keys {
-            self.released(&key);
+            self.release(&key);
         }
     }
 
     /// Decides for as many of those that wait as can be decided now.
-    pub fn assign(&mut self, heads: &[OpenHead], now: Instant) -> Vec<(RequestKey, Outcome)> {
+    pub fn assign(&mut self, heads: &[OpenHead], now: Instant) -> Vec<(RequestKey, SlotOutcome)> {
         self.inherited.get_or_insert_with(|| {
-            let busy = heads.iter().filter(|h| h.reported > 0);
-            busy.map(|h| (h.key.clone(), h.reported)).collect()
+            let busy = heads.iter().filter(|h| h.inherited_requests > 0);
+            busy.map(|h| (h.key.clone(), h.inherited_requests))
+                .collect()
         });
         self.update_heads(heads, now);
         self.accept_unanswered(now);
@@ -405,7 +406,7 @@
         self.queue.decided(now);
         while let Some(position) = self.unservable(heads, now) {
             let rejected = self.queue.remove(position);
-            decided.extend(rejected.map(|ask| (ask.key, Outcome::Full)));
+            decided.extend(rejected.map(|ask| (ask.key, SlotOutcome::Full)));
         }
         decided
     }
@@ -416,10 +417,10 @@
     /// others that waited as long.
     fn unservable(&self, heads: &[OpenHead], now: Instant) -> Option<Position> {
         let (position, ask) = self.queue.last()?;
-        if self.queue.busy_for(now) < LEARNING_PERIOD || position.0 == Rank::Resumed {
+        if self.queue.busy_for(now) < LEARNING_PERIOD || position.0 == Priority::Resumed {
             return None;
         }
-        let time = ask.until.saturating_duration_since(now).as_secs_f64();
+        let time = ask.deadline.saturating_duration_since(now).as_secs_f64();
         let servable = heads.len() as f64 + self.grants.per_second(now) * time;
         (self.queue.len() as f64 > servable).then_some(position)
     }
@@ -431,18 +432,18 @@
         round: &mut Round,
         heads: &'h [OpenHead],
         now: Instant,
-    ) -> Option<(Outcome, Option<&'h OpenHead>)> {
+    ) -> Option<(SlotOutcome, Option<&'h OpenHead>)> {
         let rank = position.0;
         if let Some(head) = self.head_for(position, round, heads, now) {
-            self.late_rejection.ended(rank, true, now);
-            return Some((Outcome::Granted(head.key.clone()), Some(head)));
+            self.late_rejection.on_wait_ended(rank, true, now);
+            return Some((SlotOutcome::Granted(head.key.clone()), Some(head)));
         }
-        if now >= self.queue.get(position)?.until {
-            self.late_rejection.ended(rank, false, now);
-            return Some((Outcome::Full, None));
+        if now >= self.queue.get(position)?.deadline {
+            self.late_rejection.on_wait_ended(rank, false, now);
+            return Some((SlotOutcome::Full, None));
         }
-        let is_rejected = self.late_rejection.holds_for(rank, now);
-        is_rejected.then_some((Outcome::Full, None))
+        let is_rejected = self.late_rejection.applies_to(rank, now);
+        is_rejected.then_some((SlotOutcome::Full, None))
     }
 
     fn head_for<'h>(
@@ -484,29 +485,37 @@
         }
     }
 
-    fn put(&mut self, ask: &Ask, head: &OpenHead, now: Instant) {
+    fn put(&mut self, ask: &PendingRequest, head: &OpenHead, now: Instant) {
         self.grants.on_event(now);
         let work = self.work.entry(head.key.clone()).or_default();
         work.requests += 1;
         work.unaccepted += 1;
         work.window.on_grant(now);
-        work.unread += ask.prompt;
-        work.pause = Some(work.pause.map_or(ask.pause, |p| p.min(ask.pause)));
+        work.unread += ask.prompt_tokens;
+        work.pause = Some(
+            work.pause
+                .map_or(ask.max_event_gap, |p| p.min(ask.max_event_gap)),
+        );
         let assigned = Assignment {
             head: head.key.clone(),
             slots: head.slots,
             at: now,
-            prompt: ask.prompt,
+            prompt: ask.prompt_tokens,
             began: false,
             accepted: false,
-            until: ask.until.max(now) + ASSIGNMENT_TTL,
+            until: ask.deadline.max(now) + ASSIGNMENT_TTL,
         };
         self.assigned.insert(ask.key.clone(), assigned);
         self.unanswered.push_back((now, ask.key.clone()));
     }
 
     /// The head at which the request would give its first event soonest, if one has room.
-    fn choose<'h>(&self, ask: &Ask, heads: &'h [OpenHead], now: Instant) -> Option<&'h OpenHead> {
+    fn choose<'h>(
+        &self,
+        ask: &PendingRequest,
+        heads: &'h [OpenHead],
+        now: Instant,
+    ) -> Option<&'h OpenHead> {
         let other = heads.iter().any(|h| !ask.avoid.contains(&h.host));
         let wanted = heads
             .iter()
@@ -516,13 +525,15 @@
             let Some(work) = self.work.get(&head.key) else {
                 continue;
             };
-            let demand = self.demand(head, ask.prompt, ask.pause, now);
+            let demand = self.demand(head, ask.prompt_tokens, ask.max_event_gap, now);
             if !work.has_room(&self.speed, demand, self.lead, now) {
                 continue;
             }
             let fill = demand.requests as f64 / head.slots.max(1) as f64;
             let near = head.failure_domain == ask.failure_domain;
-            let pass = self.speed.pass(demand.requests, work.unread + ask.prompt);
+            let pass = self
+                .speed
+                .pass_time(demand.requests, work.unread + ask.prompt_tokens);
             let cost = pass.mul_f64(work.pace(self.lead, now))
                 + FULL_BATCH_COST.mul_f64(fill)
                 + if near {
@@ -559,7 +570,7 @@
         let keys = self.assigned.iter().filter(|(_, p)| over(p));
         let keys: Vec<RequestKey> = keys.map(|(key, _)| key.clone()).collect();
         for key in keys {
-            self.released(&key);
+            self.release(&key);
         }
         let open = |key: &HeadKey| heads.iter().any(|h| h.key == *key);
         self.work.retain(|key, work| work.requests > 0 || open(key));
--- a/crates/fleet/src/schedule/head.rs
+++ b/crates/fleet/src/schedule/head.rs
@@ -106,7 +106,7 @@
             return true;
         }
         let pause = self.pause.map_or(demand.pause, |p| p.min(demand.pause));
-        let pass = speed.pass(demand.requests, self.unread + demand.prompt);
+        let pass = speed.pass_time(demand.requests, self.unread + demand.prompt);
         pass.mul_f64(self.pace(usual, now)) <= pause.mul_f64(MAX_PASS_RATIO)
     }
 }
--- a/crates/fleet/src/schedule/queue.rs
+++ b/crates/fleet/src/schedule/queue.rs
@@ -3,20 +3,20 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::rank::Rank;
-use crate::schedule::{Ask, RequestKey};
+use crate::rank::Priority;
+use crate::schedule::{PendingRequest, RequestKey};
 
 /// Requests that wait for this long without a break show that more come than are served.
 const LIFO_DELAY: Duration = Duration::from_millis(50);
 
 /// A position in the queue: by rank, then in the order of arrival.
-pub(super) type Position = (Rank, u64);
+pub(super) type Position = (Priority, u64);
 
 /// Requests that wait, by position.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
     next: u64,
-    waiting: BTreeMap<Position, Ask>,
+    waiting: BTreeMap<Position, PendingRequest>,
     /// Invariant: the keys of `waiting`.
     positions: HashMap<RequestKey, Position>,
     /// Since when requests have waited without a break.
@@ -45,7 +45,7 @@
         let mut positions: Vec<Position> = self.waiting.keys().copied().collect();
         if self.busy_for(now) >= LIFO_DELAY {
             for same in positions.chunk_by_mut(|a, b| a.0 == b.0) {
-                if matches!(same.first(), Some((Rank::OnTime(_), _))) {
+                if matches!(same.first(), Some((Priority::OnTime(_), _))) {
                     same.reverse();
                 }
             }
@@ -53,27 +53,27 @@
         positions
     }
 
-    pub(super) fn get(&self, position: Position) -> Option<&Ask> {
+    pub(super) fn get(&self, position: Position) -> Option<&PendingRequest> {
         self.waiting.get(&position)
     }
 
-    pub(super) fn last(&self) -> Option<(Position, &Ask)> {
+    pub(super) fn last(&self) -> Option<(Position, &PendingRequest)> {
         let last = self.waiting.last_key_value();
         last.map(|(position, ask)| (*position, ask))
     }
 
     /// Adds a request behind all others of its rank.
-    pub(super) fn push(&mut self, rank: Rank, ask: Ask) {
+    pub(super) fn push(&mut self, rank: Priority, ask: PendingRequest) {
         self.insert((rank, self.next), ask);
         self.next += 1;
     }
 
-    fn insert(&mut self, position: Position, ask: Ask) {
+    fn insert(&mut self, position: Position, ask: PendingRequest) {
         self.positions.insert(ask.key.clone(), position);
         self.waiting.insert(position, ask);
     }
 
-    pub(super) fn remove(&mut self, position: Position) -> Option<Ask> {
+    pub(super) fn remove(&mut self, position: Position) -> Option<PendingRequest> {
         let ask = self.waiting.remove(&position)?;
         self.positions.remove(&ask.key);
         Some(ask)
@@ -105,13 +105,13 @@
     pub(super) fn rank_late(&mut self, lead: Duration, now: Instant) {
         let late: Vec<Position> = self
             .waiting
-            .range((Rank::OnTime(0), 0)..(Rank::Late(0), 0))
+            .range((Priority::OnTime(0), 0)..(Priority::Late(0), 0))
             .filter(|(_, ask)| now + lead >= ask.on_time_until)
             .map(|(position, _)| *position)
             .collect();
         for position in late {
-            if let (Rank::OnTime(urgency), Some(ask)) = (position.0, self.remove(position)) {
-                self.insert((Rank::Late(urgency), position.1), ask);
+            if let (Priority::OnTime(urgency), Some(ask)) = (position.0, self.remove(position)) {
+                self.insert((Priority::Late(urgency), position.1), ask);
             }
         }
     }
--- a/crates/fleet/src/stall.rs
+++ b/crates/fleet/src/stall.rs
@@ -6,21 +6,21 @@
 
 value! { copy
     /// When a replica counts as standing still.
-    pub struct StallRule {
+    pub struct StallThreshold {
         /// Silence of all streams of a replica that is never suspicious. A pass takes
         /// some 50 ms; a prompt's piece, a lost packet and its repetition about 250 ms.
-        pub floor: Duration,
+        pub min_silence: Duration,
         /// Silence as a multiple of the usual pause, so that a slow replica isn't taken
         /// for one that stands still.
-        pub pauses: u32,
+        pub gap_factor: u32,
     }
 }
 
-impl Default for StallRule {
-    fn default() -> StallRule {
-        StallRule {
-            floor: Duration::from_millis(320),
-            pauses: 6,
+impl Default for StallThreshold {
+    fn default() -> StallThreshold {
+        StallThreshold {
+            min_silence: Duration::from_millis(320),
+            gap_factor: 6,
         }
     }
 }
@@ -31,7 +31,7 @@
 /// streams, while its head still accepts requests. That silence is the earliest sign,
 /// seconds before the platform's host list says anything.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Progress {
+pub struct StreamActivity {
     /// Where its silence counts from: an event, or work after it had none.
     last: Option<Instant>,
     event: Option<Instant>,
@@ -42,9 +42,9 @@
 /// Weight of the newest pause in the average, as 1 / this.
 const PAUSE_MEMORY: u32 = 8;
 
-impl Progress {
+impl StreamActivity {
     /// Notes an event, or that a stream's answer began.
-    pub fn event(&mut self, now: Instant) {
+    pub fn on_event(&mut self, now: Instant) {
         if let Some(last) = self.last {
             let pause = now.saturating_duration_since(last);
             self.pause = (self.pause * (PAUSE_MEMORY - 1) + pause) / PAUSE_MEMORY;
@@ -58,21 +58,21 @@
     ///
     /// A node that reaches some hosts no more finds their replicas silent. Believed, it
     /// would have replicas taken apart that serve all other nodes. A loss that is real
-    /// stops the streams of all nodes at once, and is told after [`StallRule::floor`] and
+    /// stops the streams of all nodes at once, and is told after [`StallThreshold::floor`] and
     /// a question, so that the last event is older then.
-    pub fn moves(&self, rule: &StallRule, now: Instant) -> bool {
-        let lately = |at: Instant| now.saturating_duration_since(at) < rule.floor;
+    pub fn has_recent_event(&self, rule: &StallThreshold, now: Instant) -> bool {
+        let lately = |at: Instant| now.saturating_duration_since(at) < rule.min_silence;
         self.event.is_some_and(lately)
     }
 
     /// Notes that the replica got work after it had none: its silence counts from here.
-    pub fn resumed(&mut self, now: Instant) {
+    pub fn on_work_resumed(&mut self, now: Instant) {
         self.last = Some(now);
     }
 
     /// When it will count as standing still.
-    pub fn stalls_at(&self, rule: &StallRule) -> Option<Instant> {
-        let silence = rule.floor.max(self.pause * rule.pauses);
+    pub fn stalls_at(&self, rule: &StallThreshold) -> Option<Instant> {
+        let silence = rule.min_silence.max(self.pause * rule.gap_factor);
         self.last.map(|last| last + silence)
     }
 }
--- a/crates/fleet/src/strain.rs
+++ b/crates/fleet/src/strain.rs
@@ -17,17 +17,17 @@
 
 /// The strain of one node, by the delay of a timer that runs all the time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Strain {
+pub struct CpuOverload {
     delay: Duration,
     /// Set while the node is strained: when it last ran late.
     late_at: Option<Instant>,
 }
 
-impl Strain {
+impl CpuOverload {
     /// Takes how late the timer was.
     pub fn on_timer(&mut self, late: Duration, now: Instant) {
         self.delay = (self.delay * (DELAY_MEMORY - 1) + late) / DELAY_MEMORY;
-        if self.delay >= STRAIN_DELAY || (self.is_strained() && self.delay >= RELIEF_DELAY) {
+        if self.delay >= STRAIN_DELAY || (self.is_overloaded() && self.delay >= RELIEF_DELAY) {
             self.late_at = Some(now);
         }
         let long_ago = |at: &mut Instant| now.saturating_duration_since(*at) >= RELIEF_PERIOD;
@@ -35,7 +35,7 @@
     }
 
     /// Whether the node should take no role for others.
-    pub fn is_strained(&self) -> bool {
+    pub fn is_overloaded(&self) -> bool {
         self.late_at.is_some()
     }
 }
--- a/crates/fleet/src/targets.rs
+++ b/crates/fleet/src/targets.rs
@@ -39,12 +39,12 @@
 
 impl TargetStats {
     /// Counts a request that is sent to a host.
-    pub fn enter(&mut self, host: &HostId) {
+    pub fn on_request_start(&mut self, host: &HostId) {
         self.hosts.entry(host.clone()).or_default().running += 1;
     }
 
     /// Counts the end of a request.
-    pub fn leave(&mut self, host: &HostId, outcome: TargetOutcome, now: Instant) {
+    pub fn on_request_end(&mut self, host: &HostId, outcome: TargetOutcome, now: Instant) {
         let Some(stat) = self.hosts.get_mut(host) else {
             return;
         };
@@ -60,7 +60,7 @@
     }
 
     /// Requests that a host has of this node, and its failure rate in thousandths.
-    pub fn of(&self, host: &str, now: Instant) -> (usize, u32) {
+    pub fn load_and_failures(&self, host: &str, now: Instant) -> (usize, u32) {
         let stat = self.hosts.get(host);
         stat.map_or((0, 0), |s| (s.running, s.failing_at(now)))
     }
--- a/crates/fleet/tests/cold.rs
+++ b/crates/fleet/tests/cold.rs
@@ -5,8 +5,8 @@
 
 use eelgrassmill_base::{FailureDomain, HostId};
 use eelgrassmill_fleet::{
-    Ask, ColdShares, ColdStart, EngineSpeed, EvacuationChange, Fleet, FleetChange, Host, HostState,
-    Millionths, OpenHead, Outcome, RequestKey, Scheduler,
+    ColdRateLimiter, ColdStart, EngineSpeed, EvacuationChange, Fleet, FleetChange, Host, HostState,
+    Millionths, OpenHead, PendingRequest, RequestKey, Scheduler, SlotOutcome,
 };
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, proptest};
@@ -20,15 +20,15 @@
 
 fn cold() -> ColdStart {
     ColdStart {
-        time: COLD_TIME,
-        rate: Millionths::of(RATE),
+        duration: COLD_TIME,
+        max_rate: Millionths::of(RATE),
     }
 }
 
 fn host(id: &str, domain: &str, cold_ms: u64) -> Host {
     Host {
         id: id.into(),
-        born_ms: 1,
+        started_ms: 1,
         service: "writer".into(),
         address: "10.0.0.1:1".into(),
         failure_domain: domain.into(),
@@ -66,8 +66,8 @@
             host: "h1".into(),
             slots: 60,
             failure_domain: "z1".into(),
-            reported: 0,
-            unscheduled: 0,
+            inherited_requests: 0,
+            unscheduled_requests: 0,
             cold,
         };
         Play {
@@ -84,12 +84,12 @@
         while at < now + time {
             self.asked += 1;
             let heads = [self.head.clone()];
-            self.scheduler.ask(ask(self.asked, at), at);
+            self.scheduler.enqueue(ask(self.asked, at), at);
             for (key, outcome) in self.scheduler.assign(&heads, at) {
-                if matches!(outcome, Outcome::Granted(_)) {
+                if matches!(outcome, SlotOutcome::Granted(_)) {
                     self.granted.push(at);
-                    self.scheduler.started(&key, at);
-                    self.scheduler.released(&key);
+                    self.scheduler.on_first_event(&key, at);
+                    self.scheduler.release(&key);
                 }
             }
             at += TICK;
@@ -100,28 +100,28 @@
 
 fn scheduler(now: Instant) -> Scheduler {
     let speed = EngineSpeed {
-        step: Duration::from_millis(1),
-        per_request: Duration::ZERO,
-        steps: 1,
-        read: Duration::ZERO,
-        pace: Millionths::of(1.0),
+        decode_step: Duration::from_millis(1),
+        decode_per_request: Duration::ZERO,
+        steps_per_pass: 1,
+        prefill_per_token: Duration::ZERO,
+        time_factor: Millionths::of(1.0),
     };
     Scheduler::new(speed, now)
 }
 
-fn ask(number: u64, now: Instant) -> Ask {
-    Ask {
+fn ask(number: u64, now: Instant) -> PendingRequest {
+    PendingRequest {
         key: RequestKey {
             node: "n1".into(),
             number,
         },
         failure_domain: "z1".into(),
-        prompt: 1,
+        prompt_tokens: 1,
         resumed: false,
         urgency: 1,
         on_time_until: now + Duration::from_millis(300),
-        until: now + Duration::from_millis(600),
-        pause: Duration::from_millis(300),
+        deadline: now + Duration::from_millis(600),
+        max_event_gap: Duration::from_millis(300),
         avoid: Default::default(),
     }
 }
@@ -171,7 +171,7 @@
     let host = HostId::from("h1");
     let mut sent = Vec::new();
     for _ in 0..nodes {
-        let mut shares = ColdShares::default();
+        let mut shares = ColdRateLimiter::default();
         let mut at = now;
         loop {
             at += Duration::from_secs_f64(-rng.f64().max(1e-9).ln() / per_s);
@@ -179,7 +179,7 @@
                 break;
             }
             if shares.may_send(&host, &cold(), nodes, rng.f64(), at) {
-                shares.sent(&host);
+                shares.on_sent(&host);
                 sent.push(at);
             }
         }
@@ -270,7 +270,7 @@
             let change = if *is_evacuated {
                 EvacuationChange::Evacuated(domain)
             } else {
-                EvacuationChange::TakenBack(domain)
+                EvacuationChange::Cancelled(domain)
             };
             fleet.apply_evacuation(change, now);
         }
--- a/crates/fleet/tests/lease.rs
+++ b/crates/fleet/tests/lease.rs
@@ -2,7 +2,9 @@
 
 use std::time::Duration;
 
-use eelgrassmill_fleet::{LEASE_TERM, Lease, PlannerTiming, Standing, are_most, hears_enough};
+use eelgrassmill_fleet::{
+    LEASE_TERM, Lease, LeaseStatus, PlannerTiming, hears_majority, is_majority,
+};
 use googletest::prelude::*;
 
 const STEP: u64 = 60;
@@ -15,7 +17,7 @@
 fn acts_until(lease: &mut Lease, from: u64, to: u64, heard: bool) -> Option<u64> {
     (from..to)
         .step_by(STEP as usize)
-        .find(|ms| lease.step(at(*ms), heard) != Standing::Act)
+        .find(|ms| lease.update(at(*ms), heard) != LeaseStatus::Act)
 }
 
 /// The holder is cut off from the store and from all nodes, but not from hosts. Another
@@ -28,14 +30,14 @@
     expect_that!(acts_until(&mut stopped, 1000, 4000, true), none());
     let stopped_at = acts_until(&mut lease, 5000, 9000, false);
     expect_that!(stopped_at, some(le(5000 + 1500 + STEP)));
-    expect_that!(lease.step(at(6700), false), eq(Standing::Wait));
+    expect_that!(lease.update(at(6700), false), eq(LeaseStatus::Wait));
 }
 
 /// A successor claims the lease just after the holder asked for its last confirmation.
 #[gtest]
 fn a_successor_forms_nothing_before_the_term_is_over() {
     let timing = PlannerTiming::default();
-    expect_that!(timing.settle, gt(LEASE_TERM + at(STEP)));
+    expect_that!(timing.takeover_delay, gt(LEASE_TERM + at(STEP)));
 }
 
 /// The store is away for everybody. Replicas still lose members, and the holder, which
@@ -51,13 +53,13 @@
 #[gtest]
 fn a_holder_that_stood_still_waits_for_the_store() {
     let mut lease = Lease::new(at(0));
-    expect_that!(lease.step(at(60), true), eq(Standing::Act));
-    expect_that!(lease.step(at(4060), true), eq(Standing::Wait));
+    expect_that!(lease.update(at(60), true), eq(LeaseStatus::Act));
+    expect_that!(lease.update(at(4060), true), eq(LeaseStatus::Wait));
     // An answer to a question from before the pause is as old as the pause.
     lease.confirm(at(50));
-    expect_that!(lease.step(at(4120), true), eq(Standing::Wait));
+    expect_that!(lease.update(at(4120), true), eq(LeaseStatus::Wait));
     lease.confirm(at(4100));
-    expect_that!(lease.step(at(4180), true), eq(Standing::Act));
+    expect_that!(lease.update(at(4180), true), eq(LeaseStatus::Act));
 }
 
 /// A holder that can't be sure must not keep the lease from those who can.
@@ -66,7 +68,7 @@
     let mut lease = Lease::new(at(0));
     let first = (0..10_000)
         .step_by(STEP as usize)
-        .find(|ms| lease.step(at(*ms), false) == Standing::GiveUp);
+        .find(|ms| lease.update(at(*ms), false) == LeaseStatus::GiveUp);
     expect_that!(first, some(all![ge(3000), le(4000)]));
 }
 
@@ -75,9 +77,9 @@
 #[gtest]
 fn one_dead_node_of_many_stops_no_repairs() {
     let silences = [300, 200, 9000, 400, 100, 250].map(at);
-    expect_that!(hears_enough(silences.into_iter()), eq(true));
+    expect_that!(hears_majority(silences.into_iter()), eq(true));
     let silences = [300, 2000, 9000, 4000, 100, 2500].map(at);
-    expect_that!(hears_enough(silences.into_iter()), eq(false));
+    expect_that!(hears_majority(silences.into_iter()), eq(false));
 }
 
 /// The nodes are cut in two. A side on which the holder is sure and one on which a node may
@@ -88,8 +90,8 @@
         for here in 1..nodes {
             let others =
                 |side: usize| (1..nodes).map(move |n| at(if n < side { 100 } else { 3000 }));
-            let sure = hears_enough(others(here));
-            let may_take = are_most(others(nodes - here), LEASE_TERM);
+            let sure = hears_majority(others(here));
+            let may_take = is_majority(others(nodes - here), LEASE_TERM);
             expect_that!(sure && may_take, eq(false), "{here} of {nodes}");
         }
     }
@@ -97,6 +99,6 @@
 
 #[gtest]
 fn a_node_that_knows_no_other_is_not_sure() {
-    expect_that!(hears_enough(std::iter::empty()), eq(false));
-    expect_that!(are_most(std::iter::empty(), LEASE_TERM), eq(true));
+    expect_that!(hears_majority(std::iter::empty()), eq(false));
+    expect_that!(is_majority(std::iter::empty(), LEASE_TERM), eq(true));
 }
--- a/crates/fleet/tests/packing.rs
+++ b/crates/fleet/tests/packing.rs
@@ -6,8 +6,8 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_fleet::{
-    Command, Engine, Fleet, FleetChange, Host, HostState, Membership, MembershipPhase, Millionths,
-    ModelSpec, Order, Planner, PlannerTiming, Service, Step,
+    Command, Engine, Fleet, FleetChange, FormationPhase, Host, HostState, Membership,
+    MembershipPhase, Millionths, ModelSpec, Order, Planner, PlannerTiming, Service,
 };
 use googletest::prelude::*;
 use smol_str::{SmolStr, format_smolstr};
@@ -19,9 +19,9 @@
         name: name.into(),
         size,
         share: Millionths::of(share),
-        load: Duration::from_secs(16),
-        warm: Duration::from_millis(1600),
-        pace: Millionths::of(1.0),
+        load_time: Duration::from_secs(16),
+        warm_load_time: Duration::from_millis(1600),
+        time_factor: Millionths::of(1.0),
     }
 }
 
@@ -34,7 +34,7 @@
             slots: 26,
             models,
             loads_per_ks: 18_000,
-            loads_at_once: 27,
+            max_concurrent_loads: 27,
             speed: speed(),
         }),
     }
@@ -43,7 +43,7 @@
 fn host(fabric: usize, n: usize, staged: Option<&str>) -> Host {
     Host {
         id: format_smolstr!("d{fabric}-{n:02}"),
-        born_ms: 1,
+        started_ms: 1,
         service: "writer".into(),
         address: format_smolstr!("10.0.{fabric}.{n}:1"),
         failure_domain: "z1".into(),
@@ -69,7 +69,7 @@
     let mut replicas = BTreeMap::new();
     for step in 0..40 {
         let at = now + Duration::from_millis(60) * step;
-        for command in planner.step(fleet, &[service], cold, at) {
+        for command in planner.plan(fleet, &[service], cold, at) {
             let Command::Order { order, .. } = command else {
                 continue;
             };
@@ -107,9 +107,9 @@
         // Asked once the planner before can give no orders; then five more answer in each step.
         let settled = (step as usize).saturating_sub(33);
         let able = &hosts[..hosts.len().min(settled * 5)];
-        for command in planner.step(&fleet, &[&service], true, at) {
+        for command in planner.plan(&fleet, &[&service], true, at) {
             match command {
-                Command::Ask { host } => {
+                Command::Query { host } => {
                     let told = able.iter().find(|h| h.id == host);
                     told.map(|told| planner.on_report(told, &fleet, at));
                 }
@@ -159,9 +159,9 @@
         // Half are listed at first, all after a second.
         let listed = if step < 17 { 8 } else { 16 };
         let fleet = fleet(hosts[..listed].to_vec(), at);
-        for command in planner.step(&fleet, &[&service], false, at) {
+        for command in planner.plan(&fleet, &[&service], false, at) {
             match command {
-                Command::Ask { host } => {
+                Command::Query { host } => {
                     let told = hosts.iter().find(|h| h.id == host);
                     told.map(|told| planner.on_report(told, &fleet, at));
                 }
@@ -175,7 +175,9 @@
         }
     }
     expect_that!(left, is_empty());
-    let open = planner.formations().filter(|f| f.step == Step::Open);
+    let open = planner
+        .formations()
+        .filter(|f| f.phase == FormationPhase::Open);
     expect_that!(open.count(), eq(1));
 }
 
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use eelgrassmill_base::HostId;
-use eelgrassmill_fleet::{Loss, Order, OrderReply, Purpose, Step};
+use eelgrassmill_fleet::{FormationPhase, LossReason, Order, OrderReply, Purpose};
 use googletest::prelude::*;
 
 use crate::support::World;
@@ -254,14 +254,14 @@
     let (id, epoch) = (formation.id.clone(), formation.epoch);
     let (head, member) = (formation.members[0].clone(), formation.members[3].clone());
     let planner = &mut world.actors[0].planner;
-    planner.replica_lost(&id, epoch, Loss::Silent(member), world.began);
+    planner.on_replica_lost(&id, epoch, LossReason::Silent(member), world.began);
     let open = Order::Open {
         replica: id.clone(),
         epoch,
     };
     planner.on_reply(&head, &open, Some(OrderReply::Done), world.began);
-    let step = planner.formations().find(|f| f.id == id).map(|f| f.step);
-    expect_that!(step, some(eq(Step::Dissolving)));
+    let step = planner.formations().find(|f| f.id == id).map(|f| f.phase);
+    expect_that!(step, some(eq(FormationPhase::Dissolving)));
 }
 
 /// Guards against a replica that serves nothing because its head rejects requests.
@@ -459,7 +459,7 @@
     }
     world.run(seconds(2));
     let mut large = world.planner().formations().filter(|f| f.model == "large");
-    let serving = large.find(|f| f.step == Step::Open);
+    let serving = large.find(|f| f.phase == FormationPhase::Open);
     expect_that!(serving.map(|f| f.epoch), eq(before.map(|epoch| epoch + 1)));
     expect_that!(world.violations, is_empty());
 }
--- a/crates/fleet/tests/policy.rs
+++ b/crates/fleet/tests/policy.rs
@@ -5,8 +5,8 @@
 
 use eelgrassmill_base::HostId;
 use eelgrassmill_fleet::{
-    Caller, Candidate, Catalog, Fleet, FleetChange, Host, HostState, Progress, Repeat, RetryWindow,
-    Route, RouteRefusal, StallRule, TargetOutcome, TargetStats, place,
+    Caller, Catalog, Fleet, FleetChange, Host, HostCandidate, HostState, RetryPolicy, RetryWindow,
+    Route, RouteError, StallThreshold, StreamActivity, TargetOutcome, TargetStats, choose_host,
 };
 use googletest::prelude::*;
 
@@ -19,10 +19,10 @@
         name: name.into(),
         host: "site.example".into(),
         prefix: prefix.into(),
-        repeat: Repeat::Once,
+        retry_policy: RetryPolicy::AtMostOnce,
         stream: None,
         timeout: millis(1000),
-        aim: millis(100),
+        latency_objective: millis(100),
         urgency: 1,
         attempts: 1,
         public,
@@ -54,7 +54,7 @@
     expect_that!(name("/a/x"), ok(eq("a")));
     expect_that!(name("/a/b/x"), ok(eq("ab")));
     expect_that!(name("/a/bx"), ok(eq("a")));
-    expect_that!(name("/c/"), err(eq(&RouteRefusal::NoRoute)));
+    expect_that!(name("/c/"), err(eq(&RouteError::NoRoute)));
     expect_that!(catalog.route("other.example", "/a/x").is_err(), eq(true));
 }
 
@@ -70,18 +70,15 @@
             .map(|c| c.map(|c| c.tenant.to_string()))
     };
     expect_that!(of("/a/x", Some("key-1")), ok(some(eq("baths"))));
-    expect_that!(
-        of("/a/x", Some("key-2")),
-        err(eq(&RouteRefusal::UnknownKey))
-    );
-    expect_that!(of("/a/x", None), err(eq(&RouteRefusal::UnknownKey)));
+    expect_that!(of("/a/x", Some("key-2")), err(eq(&RouteError::UnknownKey)));
+    expect_that!(of("/a/x", None), err(eq(&RouteError::UnknownKey)));
     expect_that!(of("/o/x", None), ok(none()));
 }
 
 fn host(id: &str) -> Host {
     Host {
         id: id.into(),
-        born_ms: 0,
+        started_ms: 0,
         service: "desk".into(),
         address: "10.0.0.1:1".into(),
         failure_domain: "z1".into(),
@@ -105,7 +102,7 @@
         FleetChange::Snapshot(vec![host("a"), host("b"), host("c")]),
         now,
     );
-    fleet.store_disturbed(now);
+    fleet.on_store_failure(now);
     let gone = fleet.apply(FleetChange::Snapshot(vec![host("a")]), now + millis(100));
     expect_that!(gone, is_empty());
     fleet.apply(FleetChange::Put(Box::new(host("b"))), now + millis(900));
@@ -123,13 +120,13 @@
     expect_that!(gone, elements_are![eq("a")]);
 }
 
-fn candidate(name: &str, load: usize, near: bool, failing_permille: u32) -> Candidate {
-    Candidate {
+fn candidate(name: &str, load: usize, near: bool, failing_permille: u32) -> HostCandidate {
+    HostCandidate {
         host: name.into(),
         load,
         slots: 26,
-        near,
-        failing_permille,
+        same_domain: near,
+        failure_permille: failing_permille,
     }
 }
 
@@ -143,7 +140,7 @@
             candidate("near", near_load, true, 0),
             candidate("far", 4, false, 0),
         ];
-        place(&hosts, 0.0, 0.5).map(|c| c.host.to_string())
+        choose_host(&hosts, 0.0, 0.5).map(|c| c.host.to_string())
     };
     expect_that!(chosen(4), some(eq("near")));
     expect_that!(chosen(10), some(eq("near")));
@@ -153,10 +150,10 @@
         candidate("busy", 20, true, 0),
     ];
     expect_that!(
-        place(&hosts, 0.0, 0.5).map(|c| c.host.as_str()),
+        choose_host(&hosts, 0.0, 0.5).map(|c| c.host.as_str()),
         some(eq("busy"))
     );
-    expect_that!(place(&[], 0.0, 0.5), none());
+    expect_that!(choose_host(&[], 0.0, 0.5), none());
 }
 
 /// 74 nodes send 433 requests a second to 24 heads and hear of each other's loads every half
@@ -192,12 +189,12 @@
             // 250 ms on the way.
             told.clone_from(&history[history.len().saturating_sub(108)]);
         }
-        let candidates: Vec<Candidate> = told
+        let candidates: Vec<HostCandidate> = told
             .iter()
             .enumerate()
             .map(|(n, load)| candidate(&n.to_string(), *load, true, 0))
             .collect();
-        let chosen = place(&candidates, unseen, rng.f64()).expect("heads are there");
+        let chosen = choose_host(&candidates, unseen, rng.f64()).expect("heads are there");
         let head: usize = chosen.host.parse().expect("a number");
         loads[head] += 1;
         ends.push((ms + 900, head));
@@ -243,7 +240,7 @@
         let node = &mut all[(tick % nodes as u64) as usize];
         node.on_request(now);
         requests.push(now);
-        while node.try_repeat(nodes, now) {
+        while node.try_retry(nodes, now) {
             repeats.push(now);
         }
     }
@@ -274,7 +271,7 @@
         let node = &mut all[(tick % nodes as u64) as usize];
         node.on_request(now);
         requests.push(now);
-        while node.try_repeat(known, now) {
+        while node.try_retry(known, now) {
             repeats.push(now);
         }
     }
@@ -293,32 +290,32 @@
     for ms in (0..seconds * 1000).step_by(10) {
         let now = began + millis(ms);
         for (_, host) in running.extract_if(.., |(end, _)| *end <= ms) {
-            stats.leave(&hosts[host], TargetOutcome::Served, now);
+            stats.on_request_end(&hosts[host], TargetOutcome::Served, now);
         }
-        let candidates: Vec<Candidate> = hosts
+        let candidates: Vec<HostCandidate> = hosts
             .iter()
             .map(|host| {
-                let (load, failing_permille) = stats.of(host, now);
-                Candidate {
+                let (load, failing_permille) = stats.load_and_failures(host, now);
+                HostCandidate {
                     host: host.clone(),
                     load,
                     slots: 6,
-                    near: true,
-                    failing_permille,
+                    same_domain: true,
+                    failure_permille: failing_permille,
                 }
             })
             .collect();
-        let chosen = place(&candidates, 0.0, rng.f64()).expect("there are hosts");
+        let chosen = choose_host(&candidates, 0.0, rng.f64()).expect("there are hosts");
         let index = hosts
             .iter()
             .position(|h| *h == chosen.host)
             .expect("a host");
-        stats.enter(&hosts[index]);
+        stats.on_request_start(&hosts[index]);
         if index == 0 {
             sent[(ms / 1000) as usize] += 0.01;
         }
         if index == 0 && rejects(ms / 1000) {
-            stats.leave(&hosts[0], TargetOutcome::Failed, now);
+            stats.on_request_end(&hosts[0], TargetOutcome::Failed, now);
         } else {
             running.push((ms + 60, index));
         }
@@ -340,31 +337,40 @@
 /// but gives them, and must not be taken for one that stands still.
 #[gtest]
 fn silence_counts_by_the_usual_pause() {
-    let rule = StallRule::default();
+    let rule = StallThreshold::default();
     let began = Instant::now();
-    let mut quick = Progress::default();
-    let mut slow = Progress::default();
+    let mut quick = StreamActivity::default();
+    let mut slow = StreamActivity::default();
     for n in 0..40 {
-        quick.event(began + millis(n * 50));
-        slow.event(began + millis(n * 400));
+        quick.on_event(began + millis(n * 50));
+        slow.on_event(began + millis(n * 400));
     }
     let last = |n: u64| began + millis(39 * n);
-    expect_that!(quick.stalls_at(&rule), some(eq(last(50) + rule.floor)));
+    expect_that!(
+        quick.stalls_at(&rule),
+        some(eq(last(50) + rule.min_silence))
+    );
     expect_that!(slow.stalls_at(&rule), some(gt(last(400) + millis(2000))));
-    expect_that!(Progress::default().stalls_at(&rule), none());
+    expect_that!(StreamActivity::default().stalls_at(&rule), none());
 }
 
 /// Another node has lost sight of a replica. Its streams here come as always, so it can't
 /// have lost a member; streams that got work but no event say nothing.
 #[gtest]
 fn only_events_show_that_a_replica_moves() {
-    let rule = StallRule::default();
+    let rule = StallThreshold::default();
     let now = Instant::now();
-    let mut progress = Progress::default();
-    progress.resumed(now);
-    expect_that!(progress.moves(&rule, now), eq(false));
-    progress.event(now);
-    expect_that!(progress.moves(&rule, now + millis(200)), eq(true));
+    let mut progress = StreamActivity::default();
+    progress.on_work_resumed(now);
+    expect_that!(progress.has_recent_event(&rule, now), eq(false));
+    progress.on_event(now);
+    expect_that!(
+        progress.has_recent_event(&rule, now + millis(200)),
+        eq(true)
+    );
     // The earliest news of a loss that is real.
-    expect_that!(progress.moves(&rule, now + millis(320 + 230)), eq(false));
+    expect_that!(
+        progress.has_recent_event(&rule, now + millis(320 + 230)),
+        eq(false)
+    );
 }
--- a/crates/fleet/tests/relay.rs
+++ b/crates/fleet/tests/relay.rs
@@ -5,7 +5,7 @@
 
 use eelgrassmill_base::{FailureDomain, NodeId};
 use eelgrassmill_fleet::{
-    CatchUp, ListLog, RoleCandidate, copy_source, first_read_delay, list_parent,
+    ChangeLog, RoleCandidate, SyncUpdate, initial_read_delay, initial_sync_source, list_parent,
 };
 use googletest::prelude::*;
 
@@ -117,22 +117,22 @@
 #[gtest]
 fn changes_are_told_without_a_gap() {
     let now = Instant::now();
-    let mut log = ListLog::default();
-    expect_that!(log.after(3), eq(&CatchUp::Snapshot));
-    log.take_whole(10, now);
-    log.take(vec![change(1), change(2)], 14, now, now);
-    log.take(vec![], 17, now + millis(500), now + millis(500));
-    log.take(vec![change(3)], 20, now + millis(900), now + millis(900));
-    expect_that!(log.after(0), eq(&CatchUp::Snapshot));
-    expect_that!(log.after(9), eq(&CatchUp::Snapshot));
-    let changes = |parts: &[u8]| CatchUp::Delta(parts.iter().map(|n| change(*n)).collect());
-    expect_that!(log.after(10), eq(&changes(&[1, 2, 3])));
-    expect_that!(log.after(12), eq(&changes(&[1, 2, 3])));
-    expect_that!(log.after(14), eq(&changes(&[3])));
-    expect_that!(log.after(20), eq(&changes(&[])));
-    log.take(vec![change(4)], 30, now + millis(6000), now + millis(6000));
-    expect_that!(log.after(14), eq(&CatchUp::Snapshot));
-    expect_that!(log.after(20), eq(&changes(&[4])));
+    let mut log = ChangeLog::default();
+    expect_that!(log.changes_since(3), eq(&SyncUpdate::Snapshot));
+    log.reset(10, now);
+    log.append(vec![change(1), change(2)], 14, now, now);
+    log.append(vec![], 17, now + millis(500), now + millis(500));
+    log.append(vec![change(3)], 20, now + millis(900), now + millis(900));
+    expect_that!(log.changes_since(0), eq(&SyncUpdate::Snapshot));
+    expect_that!(log.changes_since(9), eq(&SyncUpdate::Snapshot));
+    let changes = |parts: &[u8]| SyncUpdate::Delta(parts.iter().map(|n| change(*n)).collect());
+    expect_that!(log.changes_since(10), eq(&changes(&[1, 2, 3])));
+    expect_that!(log.changes_since(12), eq(&changes(&[1, 2, 3])));
+    expect_that!(log.changes_since(14), eq(&changes(&[3])));
+    expect_that!(log.changes_since(20), eq(&changes(&[])));
+    log.append(vec![change(4)], 30, now + millis(6000), now + millis(6000));
+    expect_that!(log.changes_since(14), eq(&SyncUpdate::Snapshot));
+    expect_that!(log.changes_since(20), eq(&changes(&[4])));
 }
 
 /// A node is cut off from the store and goes on answering others. The age that it tells must
@@ -140,13 +140,13 @@
 #[gtest]
 fn a_list_that_nothing_confirms_grows_old() {
     let now = Instant::now();
-    let mut log = ListLog::default();
+    let mut log = ChangeLog::default();
     expect_that!(log.age(now), none());
-    log.take_whole(10, now);
-    log.take(vec![], 10, now + millis(400), now + millis(410));
+    log.reset(10, now);
+    log.append(vec![], 10, now + millis(400), now + millis(410));
     expect_that!(log.age(now + millis(1000)), some(eq(millis(600))));
     // News that is older than what is known makes it no younger and no older.
-    log.take(vec![], 8, now + millis(100), now + millis(1000));
+    log.append(vec![], 8, now + millis(100), now + millis(1000));
     expect_that!(log.age(now + millis(1000)), some(eq(millis(600))));
     expect_that!(log.version(), eq(10));
 }
@@ -159,13 +159,16 @@
         let others = || up.iter().enumerate().filter(|(n, _)| *n != me);
         for pick in [0.0, 0.3, 0.7, 0.999] {
             let others = others().map(|(_, node)| candidate(node));
-            let source = copy_source(candidate(&up[me]), others, pick);
+            let source = initial_sync_source(candidate(&up[me]), others, pick);
             let source = up.iter().find(|(id, _)| Some(id) == source);
             expect_that!(source.map(|(_, domain)| domain), some(eq(&up[me].1)));
         }
         let far = others().filter(|(_, node)| node.1 != up[me].1);
         let far = far.map(|(_, node)| candidate(node));
-        expect_that!(copy_source(candidate(&up[me]), far, 0.5), some(anything()));
+        expect_that!(
+            initial_sync_source(candidate(&up[me]), far, 0.5),
+            some(anything())
+        );
     }
 }
 
@@ -178,7 +181,7 @@
         let up = nodes(count);
         let delay = |me: usize| {
             let others = up.iter().enumerate().filter(|(n, _)| *n != me);
-            first_read_delay(candidate(&up[me]), others.map(|(_, node)| candidate(node)))
+            initial_read_delay(candidate(&up[me]), others.map(|(_, node)| candidate(node)))
         };
         // Nodes of the first failure domain, each as late as any that counts.
         let delays: Vec<Duration> = (0..count).step_by(3).take(200).map(delay).collect();
@@ -192,7 +195,7 @@
     }
     let alone = nodes(1);
     expect_that!(
-        first_read_delay(candidate(&alone[0]), []),
+        initial_read_delay(candidate(&alone[0]), []),
         eq(Duration::ZERO)
     );
 }
--- a/crates/fleet/tests/schedule.rs
+++ b/crates/fleet/tests/schedule.rs
@@ -7,7 +7,8 @@
 
 use eelgrassmill_base::HostId;
 use eelgrassmill_fleet::{
-    Ask, CallerPatience, Candidate, HeadKey, OpenHead, Outcome, RequestKey, Scheduler, place,
+    CallerTimeouts, HeadKey, HostCandidate, OpenHead, PendingRequest, RequestKey, Scheduler,
+    SlotOutcome, choose_host,
 };
 use googletest::prelude::*;
 use smallvec::SmallVec;
@@ -49,8 +50,8 @@
         host: format_smolstr!("h{n}"),
         slots: SLOTS,
         failure_domain: "z1".into(),
-        reported: 0,
-        unscheduled: 0,
+        inherited_requests: 0,
+        unscheduled_requests: 0,
         cold: None,
     };
     (0..count).map(head).collect()
@@ -63,16 +64,16 @@
     }
 }
 
-fn ask(number: u64, prompt: u64, now: Instant) -> Ask {
-    Ask {
+fn ask(number: u64, prompt: u64, now: Instant) -> PendingRequest {
+    PendingRequest {
         key: key(number),
         failure_domain: "z1".into(),
-        prompt,
+        prompt_tokens: prompt,
         resumed: false,
         urgency: 1,
         on_time_until: now + AIM,
-        until: now + PATIENCE,
-        pause: PAUSE,
+        deadline: now + PATIENCE,
+        max_event_gap: PAUSE,
         avoid: Default::default(),
     }
 }
@@ -124,7 +125,7 @@
 struct Returns {
     /// Whether their timeouts set them apart from new callers; `None` without any.
     told_apart: Option<bool>,
-    patience: CallerPatience,
+    patience: CallerTimeouts,
     /// Requests that come back, when, and the timeout that their callers named first.
     due: Vec<(Instant, u64, Duration)>,
     timeouts: HashMap<u64, Duration>,
@@ -136,7 +137,7 @@
         if self.told_apart != Some(true) {
             return now + AIM;
         }
-        let waited = self.patience.waited(named, TIMEOUT);
+        let waited = self.patience.since_first_attempt(named, TIMEOUT);
         self.patience.on_request(named, TIMEOUT);
         now + AIM - waited
     }
@@ -237,7 +238,7 @@
             self.returns.timeouts.insert(number, timeout);
             ask.on_time_until = self.returns.on_time_until(timeout, self.now);
         }
-        self.scheduler.ask(ask, self.now);
+        self.scheduler.enqueue(ask, self.now);
     }
 
     /// Asks again for requests whose callers come back now.
@@ -249,13 +250,13 @@
             let waited = now - self.fates[number as usize].arrived.expect("it has arrived");
             let named = timeout.saturating_sub(waited);
             let on_time_until = self.returns.on_time_until(named, now);
-            let again = Ask {
+            let again = PendingRequest {
                 on_time_until,
                 ..ask(number, 600, now)
             };
             self.fates[number as usize].refused = None;
             self.prompts.insert(number, 600);
-            self.scheduler.ask(again, now);
+            self.scheduler.enqueue(again, now);
         }
     }
 
@@ -270,15 +271,16 @@
 
     /// As each of many nodes chooses for itself.
     fn emptiest_by_old_loads(&mut self) -> usize {
-        let candidate = |(n, load): (usize, &usize)| Candidate {
+        let candidate = |(n, load): (usize, &usize)| HostCandidate {
             host: format_smolstr!("{n}"),
             load: *load,
             slots: SLOTS,
-            near: true,
-            failing_permille: 0,
+            same_domain: true,
+            failure_permille: 0,
         };
-        let candidates: Vec<Candidate> = self.reported.iter().enumerate().map(candidate).collect();
-        let chosen = place(&candidates, 35.0, self.rng.f64()).expect("there are heads");
+        let candidates: Vec<HostCandidate> =
+            self.reported.iter().enumerate().map(candidate).collect();
+        let chosen = choose_host(&candidates, 35.0, self.rng.f64()).expect("there are heads");
         chosen.host.parse().expect("a head's number")
     }
 
@@ -287,8 +289,8 @@
         for (key, outcome) in self.scheduler.assign(&open, self.now) {
             let prompt = self.prompts.remove(&key.number);
             match outcome {
-                Outcome::Full => self.reject(key.number),
-                Outcome::Granted((replica, _)) => {
+                SlotOutcome::Full => self.reject(key.number),
+                SlotOutcome::Granted((replica, _)) => {
                     let n = replica[1..].parse().expect("a head's number");
                     self.send(n, key.number, prompt.expect("it was asked for"));
                 }
@@ -332,10 +334,10 @@
         } in heard
         {
             let most = if is_failure {
-                self.scheduler.failed(&key(number), now);
+                self.scheduler.on_failed(&key(number), now);
                 MAX_RUNS - 1
             } else {
-                self.scheduler.rejected(&key(number), now);
+                self.scheduler.on_rejected(&key(number), now);
                 MAX_REJECTIONS
             };
             let avoid = self.avoid.entry(number).or_default();
@@ -345,12 +347,12 @@
                 continue;
             }
             let arrived = self.fates[number as usize].arrived.expect("it has arrived");
-            let again = Ask {
+            let again = PendingRequest {
                 avoid: avoid.iter().map(|n| format_smolstr!("h{n}")).collect(),
                 ..ask(number, prompt, arrived)
             };
             self.prompts.insert(number, prompt);
-            self.scheduler.ask(again, now);
+            self.scheduler.enqueue(again, now);
         }
     }
 
@@ -373,7 +375,7 @@
                 fate.longest_pause = fate.longest_pause.max(pause);
                 if stream.last_event.is_none() {
                     fate.first = Some(now);
-                    self.scheduler.started(&key(stream.number), now);
+                    self.scheduler.on_first_event(&key(stream.number), now);
                 }
                 stream.last_event = Some(now);
                 stream.events -= 1;
@@ -385,7 +387,7 @@
         head.streams.retain(|s| s.events > 0);
         for number in ended {
             self.fates[number as usize].done = true;
-            self.scheduler.released(&key(number));
+            self.scheduler.release(&key(number));
         }
         self.begin_pass(n);
     }
@@ -404,7 +406,7 @@
         }
         if !head.streams.is_empty() {
             let writers = head.streams.len().min(SLOTS);
-            let pass = speed().pass(writers, read).mul_f64(head.slowness);
+            let pass = speed().pass_time(writers, read).mul_f64(head.slowness);
             head.pass_ends = Some(self.now + pass);
         }
     }
@@ -638,15 +640,15 @@
     let open = heads(2);
     for n in 0..8 {
         let avoid = SmallVec::from_iter([HostId::from("h1")]);
-        let ask = Ask {
+        let ask = PendingRequest {
             avoid,
             ..ask(n, 100, now)
         };
-        scheduler.ask(ask, now);
+        scheduler.enqueue(ask, now);
         scheduler.assign(&open, now);
-        scheduler.rejected(&key(n), now);
+        scheduler.on_rejected(&key(n), now);
     }
-    let loads = scheduler.loads(now).into_values();
+    let loads = scheduler.head_loads(now).into_values();
     let loads: Vec<_> = loads.map(|l| (l.requests, l.is_ejected)).collect();
     expect_that!(loads, elements_are![eq(&(0, true)), eq(&(0, false))]);
 }
@@ -659,13 +661,13 @@
     let open = heads(5);
     let full = 5 * (SLOTS as u64 + 1);
     for n in 0..full {
-        scheduler.ask(ask(n, 0, began), began);
+        scheduler.enqueue(ask(n, 0, began), began);
     }
     expect_that!(scheduler.assign(&open, began).len(), eq(full as usize));
     // More come in a second than the heads have slots.
     let come = |scheduler: &mut Scheduler, n: u64| {
         let now = began + millis(3 * (n - full));
-        scheduler.ask(ask(n, 0, now), now);
+        scheduler.enqueue(ask(n, 0, now), now);
         (now, scheduler.assign(&open, now))
     };
     for n in full..full + 300 {
@@ -673,18 +675,18 @@
     }
     let idle = began + millis(900);
     for n in 0..full {
-        scheduler.started(&key(n), idle);
-        scheduler.released(&key(n));
+        scheduler.on_first_event(&key(n), idle);
+        scheduler.release(&key(n));
     }
     for n in full + 300..full + 400 {
         let (now, outcomes) = come(&mut scheduler, n);
         for (key, outcome) in outcomes {
-            expect_that!(outcome, not(eq(&Outcome::Full)));
-            scheduler.started(&key, now + millis(150));
-            scheduler.released(&key);
+            expect_that!(outcome, not(eq(&SlotOutcome::Full)));
+            scheduler.on_first_event(&key, now + millis(150));
+            scheduler.release(&key);
         }
     }
-    expect_that!(scheduler.waiting(), eq(0));
+    expect_that!(scheduler.queue_len(), eq(0));
 }
 
 /// Guards against an overload that lasts because all heads rejected their requests for a while.
@@ -748,14 +750,14 @@
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now);
     let mut open = heads(2);
-    open[0].reported = SLOTS + 1;
+    open[0].inherited_requests = SLOTS + 1;
     for n in 0..5 {
-        scheduler.ask(ask(n, 100, now), now);
+        scheduler.enqueue(ask(n, 100, now), now);
     }
     let placed = scheduler.assign(&open, now);
     expect_that!(placed.len(), eq(5));
     for (_, outcome) in placed {
-        expect_that!(outcome, eq(&Outcome::Granted(head_key(1))));
+        expect_that!(outcome, eq(&SlotOutcome::Granted(head_key(1))));
     }
 }
 
@@ -766,15 +768,15 @@
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now);
     let mut open = heads(2);
-    open[0].reported = SLOTS;
-    open[1].reported = SLOTS;
+    open[0].inherited_requests = SLOTS;
+    open[1].inherited_requests = SLOTS;
     scheduler.assign(&open, now);
     for head in &mut open {
-        head.reported = 0;
+        head.inherited_requests = 0;
     }
     let soon = now + millis(500);
     for n in 0..2 * SLOTS as u64 {
-        scheduler.ask(ask(n, 0, soon), soon);
+        scheduler.enqueue(ask(n, 0, soon), soon);
     }
     let assigned = scheduler.assign(&open, soon).len();
     // A quarter of the streams of before have ended, and each head takes one beyond its slots.
@@ -789,9 +791,9 @@
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now - Duration::from_secs(10));
     let mut open = heads(1);
-    open[0].unscheduled = SLOTS - 1;
+    open[0].unscheduled_requests = SLOTS - 1;
     for n in 0..SLOTS as u64 {
-        scheduler.ask(ask(n, 0, now), now);
+        scheduler.enqueue(ask(n, 0, now), now);
     }
     // The last slot, and one request beyond the slots.
     expect_that!(scheduler.assign(&open, now).len(), eq(2));
@@ -806,13 +808,13 @@
     let open = heads(1);
     let places = SLOTS as u64 + 1;
     for n in 0..places {
-        scheduler.ask(ask(n, 0, now), now);
+        scheduler.enqueue(ask(n, 0, now), now);
     }
     expect_that!(scheduler.assign(&open, now).len(), eq(SLOTS + 1));
-    scheduler.ask(ask(places, 0, now), now);
+    scheduler.enqueue(ask(places, 0, now), now);
     expect_that!(scheduler.assign(&open, now), is_empty());
     let later = now + millis(6000);
-    scheduler.ask(ask(places + 1, 0, later), later);
+    scheduler.enqueue(ask(places + 1, 0, later), later);
     expect_that!(scheduler.assign(&open, later).len(), eq(2));
 }
 
@@ -821,7 +823,7 @@
     let mut scheduler = Scheduler::new(speed(), now);
     let open = heads(1);
     for n in 0..40 {
-        scheduler.ask(ask(n, 0, now), now);
+        scheduler.enqueue(ask(n, 0, now), now);
     }
     scheduler.assign(&open, now);
     (scheduler, open)
@@ -833,12 +835,12 @@
 fn requests_that_are_given_up_keep_no_place() {
     let now = Instant::now();
     let (mut scheduler, open) = full(now);
-    scheduler.released(&key(39));
-    expect_that!(scheduler.waiting(), eq(40 - SLOTS - 2));
-    scheduler.node_gone("n1");
-    expect_that!(scheduler.waiting(), eq(0));
+    scheduler.release(&key(39));
+    expect_that!(scheduler.queue_len(), eq(40 - SLOTS - 2));
+    scheduler.remove_node("n1");
+    expect_that!(scheduler.queue_len(), eq(0));
     for n in 50..50 + SLOTS as u64 {
-        scheduler.ask(ask(n, 0, now), now);
+        scheduler.enqueue(ask(n, 0, now), now);
     }
     expect_that!(scheduler.assign(&open, now).len(), eq(SLOTS));
 }
@@ -849,18 +851,18 @@
 fn a_stream_that_goes_on_gets_the_next_place() {
     let now = Instant::now();
     let (mut scheduler, open) = full(now);
-    scheduler.ask(
-        Ask {
+    scheduler.enqueue(
+        PendingRequest {
             resumed: true,
             ..ask(99, 0, now)
         },
         now,
     );
-    scheduler.released(&key(0));
+    scheduler.release(&key(0));
     let next = scheduler.assign(&open, now);
     expect_that!(
         next,
-        elements_are![eq(&(key(99), Outcome::Granted(head_key(0))))]
+        elements_are![eq(&(key(99), SlotOutcome::Granted(head_key(0))))]
     );
 }
 
@@ -871,11 +873,11 @@
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now);
     let open = heads(2);
-    scheduler.ask(ask(0, 100, now), now);
+    scheduler.enqueue(ask(0, 100, now), now);
     let first = scheduler.assign(&open, now).remove(0).1;
-    scheduler.rejected(&key(0), now);
+    scheduler.on_rejected(&key(0), now);
     for n in 1..4 {
-        scheduler.ask(ask(n, 100, now), now);
+        scheduler.enqueue(ask(n, 100, now), now);
     }
     for (_, outcome) in scheduler.assign(&open, now) {
         expect_that!(outcome, not(eq(&first)));
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -7,7 +7,7 @@
 
 use eelgrassmill_base::{Epoch, GroupId, HostId, ModelName};
 use eelgrassmill_fleet::{
-    Command, Engine, EngineSpeed, Fleet, FleetChange, Host, HostState, Loss, Membership,
+    Command, Engine, EngineSpeed, Fleet, FleetChange, Host, HostState, LossReason, Membership,
     MembershipPhase, Millionths, ModelSpec, Order, OrderReply, Planner, PlannerTiming, Service,
 };
 use smol_str::{SmolStr, format_smolstr};
@@ -101,11 +101,11 @@
 /// Replicas with steps of 6 ms that read 50 tokens in a millisecond.
 pub(crate) fn speed() -> EngineSpeed {
     EngineSpeed {
-        step: Duration::from_millis(6),
-        per_request: Duration::from_micros(45),
-        steps: 7,
-        read: Duration::from_micros(20),
-        pace: Millionths::of(1.0),
+        decode_step: Duration::from_millis(6),
+        decode_per_request: Duration::from_micros(45),
+        steps_per_pass: 7,
+        prefill_per_token: Duration::from_micros(20),
+        time_factor: Millionths::of(1.0),
     }
 }
 
@@ -114,9 +114,9 @@
         name: name.into(),
         size,
         share: Millionths::of(share),
-        load: Duration::from_millis(load),
-        warm: Duration::from_millis(warm),
-        pace: Millionths::of(1.0),
+        load_time: Duration::from_millis(load),
+        warm_load_time: Duration::from_millis(warm),
+        time_factor: Millionths::of(1.0),
     }
 }
 
@@ -132,7 +132,7 @@
                 model(SMALL, 3, 0.33, 12_000, 1_100),
             ],
             loads_per_ks: 5_500,
-            loads_at_once: 8,
+            max_concurrent_loads: 8,
             speed: speed(),
         }),
     }
@@ -282,7 +282,7 @@
     /// Tells the planners that a host gives no answer.
     pub(crate) fn say_silent(&mut self, id: &HostId) {
         for actor in &mut self.actors {
-            actor.planner.host_silent(id, &actor.fleet);
+            actor.planner.mark_silent(id, &actor.fleet);
         }
     }
 
@@ -290,7 +290,7 @@
     pub(crate) fn say_rejects(&mut self, head: &HostId) {
         let at = self.instant();
         for actor in &mut self.actors {
-            actor.planner.head_rejects(head, at);
+            actor.planner.on_head_rejecting(head, at);
         }
     }
 
@@ -300,7 +300,7 @@
         let part = self.hosts.get(head).and_then(|h| h.part.clone());
         if let (Some(part), Some(actor)) = (part, self.actors.last_mut()) {
             let planner = &mut actor.planner;
-            planner.replica_lost(&part.replica, part.epoch, Loss::Broken, at);
+            planner.on_replica_lost(&part.replica, part.epoch, LossReason::Broken, at);
         }
     }
 
@@ -409,11 +409,11 @@
         let now = self.instant();
         let services = [&self.service];
         let Actor { planner, fleet, .. } = &mut self.actors[i];
-        let commands = planner.step(fleet, &services, false, now);
+        let commands = planner.plan(fleet, &services, false, now);
         for command in commands {
             match command {
                 Command::Order { host, order, .. } => self.order(i, host, order),
-                Command::Ask { host } => self.ask(i, &host),
+                Command::Query { host } => self.ask(i, &host),
             }
         }
     }
@@ -429,7 +429,7 @@
         }
         let Actor { planner, fleet, .. } = &mut self.actors[i];
         if !reached {
-            planner.host_unanswered(&host, fleet);
+            planner.on_unanswered(&host, fleet);
             return;
         }
         if late {
@@ -439,7 +439,7 @@
         let reply = self.obey(&host, &order);
         let Actor { planner, fleet, .. } = &mut self.actors[i];
         if let (Order::Leave { replica, epoch }, OrderReply::Done) = (&order, reply) {
-            fleet.left(&host, replica, *epoch);
+            fleet.clear_membership(&host, replica, *epoch);
         }
         planner.on_reply(&host, &order, Some(reply), now);
     }
@@ -457,11 +457,11 @@
         let now = self.instant();
         let Actor { planner, fleet, .. } = &mut self.actors[i];
         let Some(entry) = entry else {
-            planner.host_unanswered(id, fleet);
+            planner.on_unanswered(id, fleet);
             return;
         };
         if planner.on_report(&entry, fleet, now) {
-            fleet.heard(entry);
+            fleet.apply_report(entry);
         }
     }
 
@@ -538,7 +538,7 @@
             .models
             .iter()
             .find(|m| m.name == model)
-            .map(|m| m.load)
+            .map(|m| m.load_time)
             .unwrap_or_default()
     }
 
@@ -697,7 +697,7 @@
             .filter(|p| p.phase != MembershipPhase::Joining);
         Host {
             id: host.id.clone(),
-            born_ms: host.born_ms,
+            started_ms: host.born_ms,
             service: SERVICE.into(),
             address: format_smolstr!("10.0.0.1:{}", host.id),
             failure_domain: "z1".into(),
@@ -778,7 +778,7 @@
         }
         for id in silent {
             for actor in &mut self.actors {
-                actor.planner.host_silent(&id, &actor.fleet);
+                actor.planner.mark_silent(&id, &actor.fleet);
             }
         }
     }
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::{HostId, ModelName, ServiceName};
-use eelgrassmill_fleet::{Candidate, LateRejection, Rank, Rate, place};
+use eelgrassmill_fleet::{HostCandidate, LateRejection, Priority, Rate, choose_host};
 use tokio::sync::Notify;
 
 use crate::answer::{Refusal, RefusalCause};
@@ -37,7 +37,7 @@
 /// together.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(400);
 
-type Key = (Rank, u64);
+type Key = (Priority, u64);
 
 /// Requests that wait, by model.
 #[derive(Debug, Default)]
@@ -62,7 +62,7 @@
 }
 
 impl AdmissionQueues {
-    fn enter(&self, service: &ServiceName, model: &ModelName, rank: Rank) -> Waiting<'_> {
+    fn enter(&self, service: &ServiceName, model: &ModelName, rank: Priority) -> Waiting<'_> {
         let name = (service.clone(), model.clone());
         let mut queues = locked(&self.queues);
         let queue = queues.entry(name.clone()).or_default();
@@ -123,25 +123,25 @@
     fn ended(&self, served: bool, now: Instant) {
         let mut queues = locked(&self.admission.queues);
         if let Some(queue) = queues.get_mut(&self.queue) {
-            queue.late_rejection.ended(self.key.0, served, now);
+            queue.late_rejection.on_wait_ended(self.key.0, served, now);
         }
     }
 
     fn is_rejected_as_late(&self, now: Instant) -> bool {
         let queues = locked(&self.admission.queues);
         let queue = queues.get(&self.queue);
-        queue.is_some_and(|q| q.late_rejection.holds_for(self.key.0, now))
+        queue.is_some_and(|q| q.late_rejection.applies_to(self.key.0, now))
     }
 
     /// Moves behind those that can still be on time.
     fn too_late(&mut self) {
-        let Rank::OnTime(urgency) = self.key.0 else {
+        let Priority::OnTime(urgency) = self.key.0 else {
             return;
         };
         let mut queues = locked(&self.admission.queues);
         if let Some(queue) = queues.get_mut(&self.queue) {
             queue.waiting.remove(&self.key);
-            self.key.0 = Rank::Late(urgency);
+            self.key.0 = Priority::Late(urgency);
             queue.waiting.insert(self.key, Arc::clone(&self.woken));
         }
     }
@@ -188,7 +188,7 @@
         Acquired::Full => return Err(full(why_not(core, service, model))),
         Acquired::NoScheduler => {}
     }
-    let rank = Rank::first(resumed, call.urgency());
+    let rank = Priority::first(resumed, call.urgency());
     let mut waiting = core.admission.enter(service, model, rank);
     loop {
         if waiting.is_first() {
@@ -273,16 +273,16 @@
     let accepting = open
         .iter()
         .filter(|h| h.is_due(now) && h.cold(now).is_none());
-    let candidates = accepting.map(|h| Candidate {
+    let candidates = accepting.map(|h| HostCandidate {
         host: h.host.clone(),
         load: h.load(),
         slots: h.slots,
-        near: h.failure_domain == core.cfg.failure_domain,
-        failing_permille: 0,
+        same_domain: h.failure_domain == core.cfg.failure_domain,
+        failure_permille: 0,
     });
     let candidates = candidates.filter(|c| c.load < c.slots + PIPELINE_DEPTH);
-    let free: Vec<Candidate> = candidates.collect();
-    let Some(chosen) = place(&free, unseen, fastrand::f64()) else {
+    let free: Vec<HostCandidate> = candidates.collect();
+    let Some(chosen) = choose_host(&free, unseen, fastrand::f64()) else {
         return Choice::Full { slots };
     };
     let head = open.iter().find(|h| h.host == chosen.host);
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use eelgrassmill_base::{ModelName, RequestId, TenantId, value};
-use eelgrassmill_fleet::{Caller, Repeat, Route};
+use eelgrassmill_fleet::{Caller, RetryPolicy, Route};
 use http::{HeaderMap, Method};
 use smol_str::SmolStr;
 
@@ -50,11 +50,11 @@
 
     /// Until then an answer is on time.
     pub(crate) fn on_time_until(&self) -> Instant {
-        self.first_sent + self.route.aim
+        self.first_sent + self.route.latency_objective
     }
 
     pub(crate) fn repeatable(&self) -> bool {
-        self.route.repeat == Repeat::Idempotent
+        self.route.retry_policy == RetryPolicy::Idempotent
     }
 
     pub(crate) fn tenant(&self) -> Option<TenantId> {
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -8,7 +8,7 @@
 use eelgrassmill_base::{NodeId, ServiceName, Shutdown};
 use eelgrassmill_engine::TargetClient;
 use eelgrassmill_fleet::{
-    CallerPatience, Catalog, ColdShares, Fleet, RetryWindow, RoleCandidate, TargetStats,
+    CallerTimeouts, Catalog, ColdRateLimiter, Fleet, RetryWindow, RoleCandidate, TargetStats,
 };
 use eelgrassmill_peer::PeerNode;
 use tokio::sync::watch;
@@ -39,7 +39,7 @@
     pub(crate) heads: Mutex<HeadTable>,
     pub(crate) targets: Mutex<TargetStats>,
     /// This node's part of the requests to plain hosts that are cold.
-    pub(crate) cold_shares: Mutex<ColdShares>,
+    pub(crate) cold_shares: Mutex<ColdRateLimiter>,
     pub(crate) nodes: Mutex<Nodes>,
     /// Nodes that say that they are the planner's leader, this one too, and their terms.
     pub(crate) leaders: Mutex<BTreeMap<NodeId, u64>>,
@@ -52,7 +52,7 @@
     pub(crate) admission: AdmissionQueues,
     /// Schedulers that run at this node.
     pub(crate) schedulers: Schedulers,
-    pub(crate) patience: Mutex<CallerPatience>,
+    pub(crate) patience: Mutex<CallerTimeouts>,
     pub(crate) scheduler_client: SchedulerClient,
     pub(crate) planning: Inbox<PlanningEvent>,
     /// Set once this node was told to stop. It then closes its port (`stopping`), and cuts off
@@ -169,7 +169,7 @@
 
     pub(crate) fn store_failed(&self) {
         self.store_failures.fetch_add(1, Ordering::Relaxed);
-        locked(&self.fleet).store_disturbed(Instant::now());
+        locked(&self.fleet).on_store_failure(Instant::now());
     }
 
     pub(crate) fn store_answered(&self) {
@@ -247,7 +247,7 @@
         let (nodes, now) = (self.node_count(), Instant::now());
         let mut retries = locked(&self.retries);
         let window = self.window(&mut retries, service);
-        if window.try_repeat(nodes, now) {
+        if window.try_retry(nodes, now) {
             self.metrics.repeated(service, reason);
             return true;
         }
@@ -255,7 +255,7 @@
         if locked(&self.budget_lines).is_due(now) {
             info!(
                 event = "retry-budget", %service, outcome = "exhausted", nodes,
-                requests = budget.requests, repeats = budget.repeats,
+                requests = budget.requests, repeats = budget.retries,
                 permitted = budget.permitted,
             );
         }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -6,7 +6,9 @@
 use bytes::Bytes;
 use eelgrassmill_base::{HostId, ServiceName};
 use eelgrassmill_engine::{SendError, TargetRequest, TargetResponse};
-use eelgrassmill_fleet::{Candidate, ColdShares, ColdStart, Fleet, Host, TargetOutcome, place};
+use eelgrassmill_fleet::{
+    ColdRateLimiter, ColdStart, Fleet, Host, HostCandidate, TargetOutcome, choose_host,
+};
 use http::{Response, StatusCode};
 use smallvec::SmallVec;
 use smol_str::SmolStr;
@@ -38,7 +40,7 @@
 
 impl<P: Platform> Drop for Running<'_, P> {
     fn drop(&mut self) {
-        locked(&self.core.targets).leave(&self.host, self.outcome, Instant::now());
+        locked(&self.core.targets).on_request_end(&self.host, self.outcome, Instant::now());
     }
 }
 
@@ -129,7 +131,7 @@
 fn patience(call: &Call, runs: u32) -> Duration {
     let left = call.left();
     if call.repeatable() && runs + 1 < call.route.attempts {
-        left.min((call.route.aim * PATIENCE_IN_AIMS).max(left / 4))
+        left.min((call.route.latency_objective * PATIENCE_IN_AIMS).max(left / 4))
     } else {
         left
     }
@@ -177,9 +179,9 @@
     let mut shares = locked(&core.cold_shares);
     let cold_start_of = |h: &Host| cold_start.filter(|cold| is_cold(&fleet, h, cold, now));
     if let Some(cold) = &cold_start {
-        shares.forget_warm(cold, now);
+        shares.remove_warm(cold, now);
     }
-    let is_within_share = |h: &Host, shares: &mut ColdShares| {
+    let is_within_share = |h: &Host, shares: &mut ColdRateLimiter| {
         let draw = fastrand::f64();
         cold_start_of(h).is_none_or(|cold| shares.may_send(&h.id, &cold, nodes, draw, now))
     };
@@ -187,24 +189,24 @@
         let is_wanted = h.service == service && !tried.contains(&h.id);
         is_wanted && fleet.takes_requests(h) && is_within_share(h, &mut shares)
     };
-    let candidates: Vec<Candidate> = fleet
+    let candidates: Vec<HostCandidate> = fleet
         .hosts()
         .filter(usable)
         .map(|h| {
-            let (load, failing_permille) = stats.of(&h.id, now);
-            Candidate {
+            let (load, failing_permille) = stats.load_and_failures(&h.id, now);
+            HostCandidate {
                 host: h.id.clone(),
                 load,
                 slots: h.slots,
-                near: h.failure_domain == core.cfg.failure_domain,
-                failing_permille,
+                same_domain: h.failure_domain == core.cfg.failure_domain,
+                failure_permille: failing_permille,
             }
         })
         .collect();
-    let chosen = place(&candidates, 0.0, fastrand::f64())?;
+    let chosen = choose_host(&candidates, 0.0, fastrand::f64())?;
     let chosen = fleet.host(&chosen.host)?;
     if cold_start_of(chosen).is_some() {
-        shares.sent(&chosen.id);
+        shares.on_sent(&chosen.id);
     }
     Some(chosen.clone())
 }
@@ -220,7 +222,7 @@
     host: &Host,
     patience: Duration,
 ) -> Attempt {
-    locked(&core.targets).enter(&host.id);
+    locked(&core.targets).on_request_start(&host.id);
     let mut running = Running {
         core,
         host: host.id.clone(),
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -140,7 +140,7 @@
         let patience = SEED_PATIENCE.mul_f64(fastrand::f64());
         let store = async {
             // The nodes that start beside this one are known only after a while.
-            while self.core.began.elapsed() < due + self.first_read_delay(patience) {
+            while self.core.began.elapsed() < due + self.initial_read_delay(patience) {
                 tokio::time::sleep(MAX_COPY_POLL).await;
             }
             self.read_store(Duration::ZERO).await
@@ -161,11 +161,11 @@
 
     /// How long this node leaves the store to others, `patience` while it has seeds that it hasn't
     /// heard.
-    fn first_read_delay(&self, patience: Duration) -> Duration {
+    fn initial_read_delay(&self, patience: Duration) -> Duration {
         if self.is_discovering_peers() {
             patience
         } else {
-            snapshot_relay::first_read_delay(self.core)
+            snapshot_relay::initial_read_delay(self.core)
         }
     }
 
@@ -366,7 +366,7 @@
 fn note(host: &Host, version: Cursor) {
     let m = host.membership.as_ref();
     info!(
-        event = "host", version, host = %host.id, state = ?host.state, born = host.born_ms,
+        event = "host", version, host = %host.id, state = ?host.state, born = host.started_ms,
         fabric = %host.fabric, staged = ?host.staged,
         replica = m.map_or("", |m| m.replica.as_str()), epoch = m.map_or(0, |m| m.epoch),
         rank = m.map_or(0, |m| m.rank), phase = ?m.map(|m| m.phase),
--- a/crates/gateway/src/heads/mod.rs
+++ b/crates/gateway/src/heads/mod.rs
@@ -9,7 +9,9 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::{Epoch, FailureDomain, GroupId, HostId, ModelName, NodeId, ServiceName};
-use eelgrassmill_fleet::{Catalog, ColdStart, EjectionBackoff, Fleet, HeadKey, Host, Progress};
+use eelgrassmill_fleet::{
+    Catalog, ColdStart, EjectionBackoff, Fleet, HeadKey, Host, StreamActivity,
+};
 use smol_str::SmolStr;
 use tokio::sync::watch;
 
@@ -38,7 +40,7 @@
     /// Those of them that this node placed without a scheduler.
     unscheduled: AtomicUsize,
     reports: Mutex<LoadReports>,
-    progress: Mutex<Progress>,
+    progress: Mutex<StreamActivity>,
     /// What this node, without a scheduler, makes of requests that it rejected or failed.
     backoff: Mutex<EjectionBackoff>,
     /// Set where it is or was cold, with the end of that.
@@ -179,7 +181,7 @@
     /// Counts one more request, until the guard is dropped.
     pub(crate) fn enter<P: Platform>(self: &Arc<Head>, permit: Option<Permit<P>>) -> InProgress<P> {
         if self.running.fetch_add(1, Ordering::Relaxed) == 0 {
-            self.progress().resumed(Instant::now());
+            self.progress().on_work_resumed(Instant::now());
         }
         if permit.is_none() {
             self.unscheduled.fetch_add(1, Ordering::Relaxed);
@@ -193,7 +195,7 @@
         }
     }
 
-    pub(crate) fn progress(&self) -> MutexGuard<'_, Progress> {
+    pub(crate) fn progress(&self) -> MutexGuard<'_, StreamActivity> {
         locked(&self.progress)
     }
 
--- a/crates/gateway/src/heads/tests.rs
+++ b/crates/gateway/src/heads/tests.rs
@@ -25,7 +25,7 @@
         state: HostState::Ready,
         slots: 13,
         cold_ms: 0,
-        born_ms: 1,
+        started_ms: 1,
         staged: Default::default(),
         model: Some("large".into()),
         membership: Some(Membership {
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::NodeId;
-use eelgrassmill_fleet::{Lease, SinceBoot, Standing, hears_enough, strongest};
+use eelgrassmill_fleet::{Lease, LeaseStatus, SinceBoot, hears_majority, strongest};
 use rustix::time::{ClockId, clock_gettime};
 use tracing::{info, warn};
 
@@ -186,13 +186,13 @@
 
 async fn plan<P: Platform>(core: &Arc<Core<P>>, leader: &LeaderRecord, lease: &Mutex<Lease>) {
     let mut term = Term::new(Arc::clone(core), leader);
-    let mut last = Standing::Act;
+    let mut last = LeaseStatus::Act;
     loop {
         if core.is_leaving() || another_holds(core, leader) {
             return;
         }
-        let heard = hears_enough(locked(&core.nodes).silences(Instant::now()));
-        let standing = locked(lease).step(since_boot(), heard);
+        let heard = hears_majority(locked(&core.nodes).silences(Instant::now()));
+        let standing = locked(lease).update(since_boot(), heard);
         if standing != last {
             info!(
                 event = "leader",
@@ -204,9 +204,9 @@
             last = standing;
         }
         match standing {
-            Standing::Act => term.step(),
-            Standing::Wait => {}
-            Standing::GiveUp => return,
+            LeaseStatus::Act => term.step(),
+            LeaseStatus::Wait => {}
+            LeaseStatus::GiveUp => return,
         }
         term.wait().await;
     }
--- a/crates/gateway/src/list_codec.rs
+++ b/crates/gateway/src/list_codec.rs
@@ -62,7 +62,7 @@
         let hash = n.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 24;
         Host {
             id: format_smolstr!("i-{hash:010x}"),
-            born_ms: 1_780_000_000_000 + hash % 60_000,
+            started_ms: 1_780_000_000_000 + hash % 60_000,
             service: "drafts".into(),
             address: format_smolstr!("10.1.{}.{}:8220", n / 250, n % 250),
             failure_domain: format_smolstr!("hall-{}", n % 5),
--- a/crates/gateway/src/nodes/mod.rs
+++ b/crates/gateway/src/nodes/mod.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::{FailureDomain, NodeId, value};
-use eelgrassmill_fleet::{RoleCandidate, are_most};
+use eelgrassmill_fleet::{RoleCandidate, is_majority};
 use smol_str::SmolStr;
 
 /// A node that was not heard of for this long is taken for dead. Nodes confirm every
@@ -133,7 +133,7 @@
 
     /// Whether most nodes are up, as far as this one hears.
     pub(crate) fn hears_most(&self, now: Instant) -> bool {
-        are_most(self.silences(now), DEAD_AFTER)
+        is_majority(self.silences(now), DEAD_AFTER)
     }
 
     /// The nodes that are up and stay, in the order of their names.
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -6,8 +6,8 @@
 
 use eelgrassmill_base::{GroupId, HostId};
 use eelgrassmill_fleet::{
-    Command, Formation, Host, Loss, Order, OrderReply, Planner, PlannerTiming, Purpose, Service,
-    Step,
+    Command, Formation, FormationPhase, Host, LossReason, Order, OrderReply, Planner,
+    PlannerTiming, Purpose, Service,
 };
 use tracing::info;
 
@@ -45,7 +45,7 @@
     /// How long the last step took.
     last_step: Duration,
     /// How far each replica was when it was last noted.
-    noted: BTreeMap<GroupId, Step>,
+    noted: BTreeMap<GroupId, FormationPhase>,
 }
 
 impl<P: Platform> Drop for Term<P> {
@@ -95,12 +95,12 @@
             if !fleet.is_loaded() {
                 return;
             }
-            self.planner.step(&fleet, &services, cold, now)
+            self.planner.plan(&fleet, &services, cold, now)
         };
         let open = self
             .planner
             .formations()
-            .filter(|f| f.step == Step::Open)
+            .filter(|f| f.phase == FormationPhase::Open)
             .count();
         core.metrics
             .open_replicas
@@ -116,18 +116,18 @@
     fn note_formations(&mut self) {
         let serving = |f: &&Formation| f.purpose == Purpose::Serve;
         for f in self.planner.formations().filter(serving) {
-            if self.noted.get(&f.id) == Some(&f.step) {
+            if self.noted.get(&f.id) == Some(&f.phase) {
                 continue;
             }
             let why = f.loss.as_ref().map(|loss| format!("{loss:?}"));
             info!(
                 event = "formation", replica = %f.id, epoch = f.epoch, model = %f.model,
-                fabric = %f.fabric, members = f.members.len(), step = ?f.step,
+                fabric = %f.fabric, members = f.members.len(), step = ?f.phase,
                 why = why.unwrap_or_default(),
             );
         }
         let formations = self.planner.formations().filter(serving);
-        self.noted = formations.map(|f| (f.id.clone(), f.step)).collect();
+        self.noted = formations.map(|f| (f.id.clone(), f.phase)).collect();
     }
 
     /// Gives up replicas that are known here to be lost.
@@ -139,7 +139,7 @@
         let heads = locked(&self.core.heads);
         for head in heads.all().filter(|h| h.is_lost()) {
             self.planner
-                .replica_lost(&head.replica, head.epoch, Loss::Broken, now);
+                .on_replica_lost(&head.replica, head.epoch, LossReason::Broken, now);
         }
     }
 
@@ -147,7 +147,7 @@
     fn take_rejecting_heads(&mut self, now: Instant) {
         let heads = locked(&self.core.heads);
         for head in heads.all().filter(|h| h.is_ejected() && !h.is_half_full()) {
-            self.planner.head_rejects(&head.host, now);
+            self.planner.on_head_rejecting(&head.host, now);
         }
     }
 
@@ -156,20 +156,24 @@
             PlanningEvent::Lost(lost) => {
                 let fleet = locked(&self.core.fleet);
                 for host in &lost.silent {
-                    self.planner.host_silent(host, &fleet);
+                    self.planner.mark_silent(host, &fleet);
                 }
                 if lost.silent.is_empty() {
-                    self.planner
-                        .replica_lost(&lost.replica, lost.epoch, Loss::Broken, now);
+                    self.planner.on_replica_lost(
+                        &lost.replica,
+                        lost.epoch,
+                        LossReason::Broken,
+                        now,
+                    );
                 }
             }
             PlanningEvent::Reply(host, order, reply) => {
                 let mut fleet = locked(&self.core.fleet);
                 if let (Order::Leave { replica, epoch }, Ok(OrderReply::Done)) = (&order, &reply) {
-                    fleet.left(&host, replica, *epoch);
+                    fleet.clear_membership(&host, replica, *epoch);
                 }
                 if let Err(HostUnavailable::NotReached(_)) = reply {
-                    self.planner.host_unanswered(&host, &fleet);
+                    self.planner.on_unanswered(&host, &fleet);
                 } else {
                     self.planner.on_reply(&host, &order, reply.ok(), now);
                 }
@@ -179,7 +183,7 @@
                 if let Some(known) = fleet.host(&host).cloned() {
                     let told = updated(known, report);
                     if self.planner.on_report(&told, &fleet, now) {
-                        fleet.heard(told);
+                        fleet.apply_report(told);
                     } else {
                         info!(event = "host-entry", %host, outcome = "another-answers");
                     }
@@ -187,7 +191,7 @@
             }
             PlanningEvent::Report(host, Err(_)) => {
                 let fleet = locked(&self.core.fleet);
-                self.planner.host_unanswered(&host, &fleet);
+                self.planner.on_unanswered(&host, &fleet);
             }
         }
     }
@@ -196,7 +200,7 @@
         let core = Arc::clone(&self.core);
         let address = match &command {
             Command::Order { address, .. } => Some(address.clone()),
-            Command::Ask { host } => locked(&core.fleet).host(host).map(|h| h.address.clone()),
+            Command::Query { host } => locked(&core.fleet).host(host).map(|h| h.address.clone()),
         };
         let Some(address) = address else { return };
         tokio::spawn(async move {
@@ -207,7 +211,7 @@
                     note(&core, &host, &order, &reply);
                     PlanningEvent::Reply(host, order, reply)
                 }
-                Command::Ask { host } => {
+                Command::Query { host } => {
                     let report = control.report(&host, &address, REPORT_TIMEOUT).await;
                     PlanningEvent::Report(host, report)
                 }
@@ -221,10 +225,10 @@
     let born_ms = if report.born_ms > 0 {
         report.born_ms
     } else {
-        known.born_ms
+        known.started_ms
     };
     Host {
-        born_ms,
+        started_ms: born_ms,
         staged: report.staged,
         membership: report.membership,
         ..known
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -9,7 +9,7 @@
 
 use eelgrassmill_base::{FailureDomain, GroupId, ModelName, NodeId, ServiceName, value};
 use eelgrassmill_fleet::{
-    Ask, EngineSpeed, HeadKey, Millionths, OpenHead, Outcome, RequestKey, Scheduler,
+    EngineSpeed, HeadKey, Millionths, OpenHead, PendingRequest, RequestKey, Scheduler, SlotOutcome,
 };
 use eelgrassmill_peer::{
     ScheduleReply, ScheduleRequest, SlotDecision, SlotEvent, SlotEventKind, SlotRequest,
@@ -57,9 +57,9 @@
     unserved: usize,
     lines: LineLimit,
     /// Who waits for which decision.
-    askers: HashMap<RequestKey, oneshot::Sender<Outcome>>,
+    askers: HashMap<RequestKey, oneshot::Sender<SlotOutcome>>,
     /// Decisions that no ask was waiting for.
-    uncollected: HashMap<RequestKey, (Outcome, Instant)>,
+    uncollected: HashMap<RequestKey, (SlotOutcome, Instant)>,
     used: Instant,
 }
 
@@ -82,8 +82,8 @@
         let mut loads = HashMap::new();
         for running in locked(&self.running).values() {
             let running = locked(running);
-            let heads = running.scheduler.loads(now);
-            let queued = running.scheduler.waiting().div_ceil(heads.len().max(1));
+            let heads = running.scheduler.head_loads(now);
+            let queued = running.scheduler.queue_len().div_ceil(heads.len().max(1));
             let reports = heads.into_iter().map(|(key, head)| {
                 let load = ScheduledLoad {
                     assigned: head.requests,
@@ -101,7 +101,7 @@
     pub(crate) fn forget(&self, node: &str) {
         for running in locked(&self.running).values() {
             let mut running = locked(running);
-            running.scheduler.node_gone(node);
+            running.scheduler.remove_node(node);
             running.askers.retain(|key, _| key.node != node);
             running.uncollected.retain(|key, _| key.node != node);
         }
@@ -136,32 +136,32 @@
     }
 }
 
-fn read(node: &NodeId, domain: &str, wanted: &SlotRequest, now: Instant) -> Ask {
+fn read(node: &NodeId, domain: &str, wanted: &SlotRequest, now: Instant) -> PendingRequest {
     let ms = |ms: u32| Duration::from_millis(ms.into());
-    Ask {
+    PendingRequest {
         key: RequestKey {
             node: node.clone(),
             number: wanted.number,
         },
         failure_domain: domain.into(),
-        prompt: wanted.prompt,
+        prompt_tokens: wanted.prompt,
         resumed: wanted.resumed,
         urgency: u8::try_from(wanted.urgency).unwrap_or(u8::MAX),
         on_time_until: now + ms(wanted.on_time_ms),
-        until: now + ms(wanted.patience_ms),
-        pause: ms(wanted.pause_ms),
+        deadline: now + ms(wanted.patience_ms),
+        max_event_gap: ms(wanted.pause_ms),
         avoid: wanted.avoid.iter().map(|h| h.as_str().into()).collect(),
     }
 }
 
-fn reply(outcome: Outcome) -> ScheduleReply {
+fn reply(outcome: SlotOutcome) -> ScheduleReply {
     match outcome {
-        Outcome::Granted((replica, epoch)) => ScheduleReply {
+        SlotOutcome::Granted((replica, epoch)) => ScheduleReply {
             decision: SlotDecision::Granted.into(),
             replica: replica.to_string(),
             epoch,
         },
-        Outcome::Full => decision(SlotDecision::Full),
+        SlotOutcome::Full => decision(SlotDecision::Full),
     }
 }
 
@@ -205,9 +205,9 @@
 fn speed<P: Platform>(core: &Core<P>, scope: &Scope) -> Option<EngineSpeed> {
     let catalog = core.catalog();
     let (engine, model) = catalog.model(&scope.service, &scope.model)?;
-    let pace = Millionths::of(engine.speed.pace.get() * model.pace.get());
+    let pace = Millionths::of(engine.speed.time_factor.get() * model.time_factor.get());
     Some(EngineSpeed {
-        pace,
+        time_factor: pace,
         ..engine.speed
     })
 }
@@ -242,8 +242,8 @@
         host: h.host.clone(),
         slots: h.slots,
         failure_domain: h.failure_domain.clone(),
-        reported: h.assigned(),
-        unscheduled: h.unscheduled(),
+        inherited_requests: h.assigned(),
+        unscheduled_requests: h.unscheduled(),
         cold: h.cold(now),
     });
     open.collect()
@@ -251,7 +251,7 @@
 
 impl Running {
     fn is_waiting(&self) -> bool {
-        self.scheduler.waiting() > 0 || !self.uncollected.is_empty()
+        self.scheduler.queue_len() > 0 || !self.uncollected.is_empty()
     }
 
     fn take(&mut self, node: &NodeId, slot_event: &SlotEvent, now: Instant) {
@@ -260,18 +260,23 @@
             number: slot_event.number,
         };
         match slot_event.event() {
-            SlotEventKind::Started => self.scheduler.started(&key, now),
-            SlotEventKind::Rejected => self.scheduler.rejected(&key, now),
-            SlotEventKind::Failed => self.scheduler.failed(&key, now),
+            SlotEventKind::Started => self.scheduler.on_first_event(&key, now),
+            SlotEventKind::Rejected => self.scheduler.on_rejected(&key, now),
+            SlotEventKind::Failed => self.scheduler.on_failed(&key, now),
             SlotEventKind::Released => {
                 self.askers.remove(&key);
                 self.uncollected.remove(&key);
-                self.scheduler.released(&key);
+                self.scheduler.release(&key);
             }
         }
     }
 
-    fn ask(&mut self, ask: Ask, heads: &[OpenHead], now: Instant) -> oneshot::Receiver<Outcome> {
+    fn ask(
+        &mut self,
+        ask: PendingRequest,
+        heads: &[OpenHead],
+        now: Instant,
+    ) -> oneshot::Receiver<SlotOutcome> {
         let (tx, rx) = oneshot::channel();
         if let Some((outcome, _)) = self.uncollected.remove(&ask.key) {
             // The receiver is in this very function's hands.
@@ -279,7 +284,7 @@
             return rx;
         }
         self.askers.insert(ask.key.clone(), tx);
-        if self.scheduler.ask(ask, now) {
+        if self.scheduler.enqueue(ask, now) {
             self.decide(heads, now);
         }
         rx
@@ -288,7 +293,7 @@
     /// Answers what can be decided now.
     fn decide(&mut self, heads: &[OpenHead], now: Instant) {
         for (key, outcome) in self.scheduler.assign(heads, now) {
-            if outcome == Outcome::Full {
+            if outcome == SlotOutcome::Full {
                 self.unserved += 1;
             }
             let unsent = match self.askers.remove(&key) {
@@ -308,7 +313,7 @@
             .collect();
         for key in given_up {
             self.uncollected.remove(&key);
-            self.scheduler.released(&key);
+            self.scheduler.release(&key);
         }
         if self.unserved > 0 && self.lines.is_due(now) {
             self.log_unserved(heads, now);
@@ -322,7 +327,7 @@
             heads_in = self.scope.heads_in.as_deref().unwrap_or_default(), outcome = "full",
             requests = self.unserved, waiting = state.waiting, heads = state.heads,
             slots = state.slots, running = state.requests, rejecting = state.rejecting,
-            lead_ms = state.lead.as_millis() as u64,
+            lead_ms = state.first_event_latency.as_millis() as u64,
         );
         self.unserved = 0;
     }
--- a/crates/gateway/src/scheduler_client.rs
+++ b/crates/gateway/src/scheduler_client.rs
@@ -281,7 +281,7 @@
             .route
             .stream
             .as_ref()
-            .map_or(call.route.aim, |s| s.pause)),
+            .map_or(call.route.latency_objective, |s| s.max_event_gap)),
         avoid: wanted.avoid.iter().map(ToString::to_string).collect(),
         wait_ms: ms(RPC_WAIT),
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use eelgrassmill_fleet::{CallerLimits, RouteRefusal};
+use eelgrassmill_fleet::{CallerLimits, RouteError};
 use http::{HeaderValue, Request, Response, header};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -244,7 +244,7 @@
             core.metrics.answered_after(service, kind, took);
             core.metrics
                 .ended(service, kind, response.status().as_str());
-            if took > call.route.aim {
+            if took > call.route.latency_objective {
                 info!(
                     event = "request", request = %call.metadata.id, route = %call.route.name,
                     outcome = "late", ms = took.as_millis() as u64, waited_ms,
@@ -319,15 +319,15 @@
         return arrived;
     };
     let mut patience = locked(&core.patience);
-    let waited = patience.waited(named, usual);
+    let waited = patience.since_first_attempt(named, usual);
     patience.on_request(named, usual);
     arrived.checked_sub(waited).unwrap_or(arrived)
 }
 
-fn refused(refusal: RouteRefusal) -> Refusal {
+fn refused(refusal: RouteError) -> Refusal {
     Refusal::new(match refusal {
-        RouteRefusal::NoRoute => RefusalCause::NoRoute,
-        RouteRefusal::UnknownKey => RefusalCause::UnknownKey,
+        RouteError::NoRoute => RefusalCause::NoRoute,
+        RouteError::UnknownKey => RefusalCause::UnknownKey,
     })
 }
 
--- a/crates/gateway/src/snapshot_relay.rs
+++ b/crates/gateway/src/snapshot_relay.rs
@@ -10,7 +10,8 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_fleet::{
-    CatchUp, EvacuationChange, FleetChange, ListLog, ListParent, copy_source, list_parent,
+    ChangeLog, EvacuationChange, FleetChange, ListParent, SyncUpdate, initial_sync_source,
+    list_parent,
 };
 use eelgrassmill_peer::{ListReply, ListRequest};
 use serde::{Deserialize, Serialize};
@@ -39,7 +40,7 @@
 /// A list as other nodes get it.
 #[derive(Debug, Default)]
 pub(crate) struct SharedLog {
-    log: Mutex<ListLog>,
+    log: Mutex<ChangeLog>,
     version: watch::Sender<Cursor>,
     whole: Mutex<Option<EncodedList>>,
 }
@@ -60,10 +61,10 @@
         {
             let mut log = locked(&self.log);
             if update.whole {
-                log.take_whole(update.version, update.as_of);
+                log.reset(update.version, update.as_of);
             } else {
                 let changes = update.changes.clone();
-                log.take(changes, update.version, update.as_of, Instant::now());
+                log.append(changes, update.version, update.as_of, Instant::now());
             }
         }
         self.version.send_if_modified(|version| {
@@ -207,14 +208,14 @@
     let now = Instant::now();
     let (version, age, catch_up) = {
         let log = locked(&shared.log);
-        (log.version(), log.age(now), log.after(req.since))
+        (log.version(), log.age(now), log.changes_since(req.since))
     };
     let as_of = age.and_then(|age| now.checked_sub(age));
     let Some(as_of) = as_of else {
         return ListReply::default();
     };
     let (list, whole) = match catch_up {
-        CatchUp::Delta(changes) => {
+        SyncUpdate::Delta(changes) => {
             let list = EncodedList {
                 version,
                 as_of,
@@ -223,7 +224,7 @@
             };
             (Some(list), false)
         }
-        CatchUp::Snapshot => (encoded_list::<P, C>(core, version, as_of, now), true),
+        SyncUpdate::Snapshot => (encoded_list::<P, C>(core, version, as_of, now), true),
     };
     let Some(list) = list else {
         return ListReply::default();
@@ -318,15 +319,15 @@
     parent.or_else(|| {
         let nodes = locked(&core.nodes);
         let others = nodes.with_copies(Instant::now());
-        copy_source(core.as_candidate(), others, fastrand::f64()).cloned()
+        initial_sync_source(core.as_candidate(), others, fastrand::f64()).cloned()
     })
 }
 
 /// Delay of this node's first read of the store.
-pub(crate) fn first_read_delay<P: Platform>(core: &Core<P>) -> Duration {
+pub(crate) fn initial_read_delay<P: Platform>(core: &Core<P>) -> Duration {
     let nodes = locked(&core.nodes);
     let others = nodes.with_copies(Instant::now());
-    eelgrassmill_fleet::first_read_delay(core.as_candidate(), others)
+    eelgrassmill_fleet::initial_read_delay(core.as_candidate(), others)
 }
 
 /// Another node's copy of a list.
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -357,7 +357,7 @@
                 Ok(None) => return ReadEnd::Complete,
                 Err(err) => return ReadEnd::Broken(err.to_string().into()),
             };
-            head.progress().event(Instant::now());
+            head.progress().on_event(Instant::now());
             if !began {
                 began = true;
                 started.slot.began();
--- a/crates/gateway/src/watch.rs
+++ b/crates/gateway/src/watch.rs
@@ -9,7 +9,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::{Epoch, GroupId, HostId, NodeId, value};
-use eelgrassmill_fleet::{Host, MembershipPhase, StallRule, Strain};
+use eelgrassmill_fleet::{CpuOverload, Host, MembershipPhase, StallThreshold};
 use eelgrassmill_peer::{GroupRecord, Item};
 use smallvec::SmallVec;
 use smol_str::SmolStr;
@@ -43,8 +43,8 @@
 
 /// Looks for replicas that stand still, for ever.
 pub(crate) async fn run<P: Platform>(core: Arc<Core<P>>) {
-    let rule = StallRule::default();
-    let mut strain = Strain::default();
+    let rule = StallThreshold::default();
+    let mut strain = CpuOverload::default();
     let mut renew_at = Instant::now();
     loop {
         let due = Instant::now() + POLL_INTERVAL;
@@ -58,19 +58,19 @@
         }
         for head in standing_still(&core, &rule) {
             // The next look must not begin a second check beside this one.
-            head.progress().resumed(Instant::now());
+            head.progress().on_work_resumed(Instant::now());
             tokio::spawn(check(Arc::clone(&core), head));
         }
     }
 }
 
 /// Takes how late this loop's timer was.
-fn note_strain<P: Platform>(core: &Core<P>, strain: &mut Strain, due: Instant) {
+fn note_strain<P: Platform>(core: &Core<P>, strain: &mut CpuOverload, due: Instant) {
     let now = Instant::now();
     strain.on_timer(now.saturating_duration_since(due), now);
-    if strain.is_strained() != core.is_strained() {
-        core.set_strained(strain.is_strained());
-        info!(event = "strain", strained = strain.is_strained());
+    if strain.is_overloaded() != core.is_strained() {
+        core.set_strained(strain.is_overloaded());
+        info!(event = "strain", strained = strain.is_overloaded());
     }
 }
 
@@ -89,7 +89,7 @@
     core.refresh_heads();
 }
 
-fn standing_still<P: Platform>(core: &Core<P>, rule: &StallRule) -> Vec<Arc<Head>> {
+fn standing_still<P: Platform>(core: &Core<P>, rule: &StallThreshold) -> Vec<Arc<Head>> {
     let now = Instant::now();
     let heads = locked(&core.heads);
     let still = |h: &&Arc<Head>| {
@@ -192,7 +192,10 @@
         .get(&update.group, update.version)
         .cloned();
     if let Some(head) = head {
-        if head.progress().moves(&StallRule::default(), Instant::now()) {
+        if head
+            .progress()
+            .has_recent_event(&StallThreshold::default(), Instant::now())
+        {
             info!(
                 event = "replica-moves", replica = %head.replica, epoch = head.epoch,
                 %from, running = head.running_here(),
