--- a/crates/route/src/suspects/mod.rs
+++ b/crates/route/src/suspects/mod.rs
@@ -1,11 +1,11 @@
-//! The request that kills every target that runs it.
+//! Finds requests that crash every target that runs them.
 //!
-//! What ran on a group when it died is suspect and is tried again alone: one
-//! suspect per group at a time. A request is named the culprit when two crashes
-//! that have no other common cause hold it, one of them without any other
-//! request that was in two; or when any three hold it, four if all are in one
-//! failure domain. What is known is a set of crashes, merged by union, so that
-//! nodes agree whatever order they hear in.
+//! Every request running on a group when it crashes becomes a suspect and is
+//! retried in isolation: one suspect per group at a time. A request is quarantined
+//! after two crashes without another common cause, if in one of them no other
+//! request had been in two crashes; or after any three crashes, four if all were
+//! in one failure domain. The state is a set of crashes merged by union, so nodes
+//! converge whatever order updates arrive in.
 
 mod record;
 
@@ -20,52 +20,53 @@
 
 /// Fingerprint of a request, the same whenever its caller sends it again.
 pub type RequestFingerprint = u64;
-/// Names one crash of one group, the same at every node that saw it.
+/// Identifies one crash of one group, the same at every node that saw it.
 pub type CrashId = u64;
 
-/// A culprit is refused for this long after the last crash it was in. Then it is
-/// tried again alone: a request named wrongly must not be refused for good.
+/// A request is quarantined for this long after the last crash it was in. Then it is
+/// retried in isolation: a request quarantined by mistake must not be refused forever.
 pub const QUARANTINE_TERM: Duration = Duration::from_secs(20 * 60);
-/// A crash is forgotten after this time.
+/// Crashes older than this are dropped.
 pub const CRASH_TTL: Duration = Duration::from_secs(60 * 60);
-/// Groups of one failure domain that die within this time, without a request in
-/// common, died of something else.
+/// Crashes in one failure domain within this time, without a request in common,
+/// are attributed to the domain and not to a request.
 pub const COMMON_CAUSE_WINDOW: Duration = Duration::from_secs(5);
 
-/// Crashes kept at most, the oldest dropped first.
+/// Maximum number of crashes kept; the oldest is dropped first.
 const MAX_CRASHES: usize = 64;
-/// A trial heard of from another node counts for this long.
+/// How long a trial reported by another node counts without being reported again.
 const TRIAL_TTL: Duration = Duration::from_secs(60);
 
-/// Crashes that name a culprit.
-const CORRELATED_CRASHES: usize = 2;
-/// Crashes that name one whatever else speaks for it. Two killers at work at once look
-/// like a common cause, and without this bound they would go on for good.
-const QUARANTINE_CRASHES: usize = 3;
-/// The same when all were in one failure domain, which may be failing: more than the
-/// attempts of one request.
-const QUARANTINE_CRASHES_ONE_DOMAIN: usize = 4;
+/// Crashes without a common cause that quarantine a request.
+const MIN_CRASHES: usize = 2;
+/// Crashes that quarantine a request regardless of other explanations. Two crashing
+/// requests at the same time look like a common cause, and without this bound neither
+/// would ever be quarantined.
+const CRASH_LIMIT: usize = 3;
+/// The same if all were in one failure domain, which may itself be failing. Must exceed
+/// the attempts of one request.
+const ONE_DOMAIN_CRASH_LIMIT: usize = 4;
 
-/// The fingerprint of a request.
+/// Hashes a request so that identical requests of a tenant share a fingerprint.
 pub fn request_fingerprint(tenant: &str, service: &str, body: &str) -> RequestFingerprint {
     stable_hash([tenant, service, body])
 }
 
-/// The id of the crash of one epoch of a group.
+/// Returns the id of the crash of one epoch of a group.
 pub fn crash_id(group: &str, epoch: Epoch) -> CrashId {
     stable_hash([group, &epoch.to_string()])
 }
 
 value! { copy
-    /// How a request may run.
+    /// How a request is allowed to run.
     pub enum SuspectStatus {
-        /// As any other.
+        /// Without restriction.
         Clear,
         /// Only at a group where no other suspect runs.
         Suspect,
-        /// Not at all: it is refused, `not-run`, with a clear error.
+        /// Not at all: it is refused as `not-run`.
         Quarantined {
-            /// When it may be tried again.
+            /// Time until it may be tried again.
             retry_after: Duration,
         },
     }
@@ -78,21 +79,22 @@
     local: bool,
 }
 
-/// What one node knows of suspects.
+/// Crashes, suspects and their trials as known to one node.
 #[derive(Debug, Default)]
 pub struct SuspectTracker {
     crashes: BTreeMap<CrashId, Crash>,
-    /// Invariant: for each request, the crashes that hold it.
+    /// Invariant: for each request, the crashes in which it was running.
     by_fingerprint: BTreeMap<RequestFingerprint, SmallVec<[CrashId; 2]>>,
-    /// When a request ran to its end on a group that lived; earlier crashes don't count.
+    /// When a request last completed on a group that stayed up; earlier crashes don't count.
     cleared: BTreeMap<RequestFingerprint, Instant>,
     trials: BTreeMap<GroupId, Trial>,
 }
 
 impl SuspectTracker {
-    /// Takes note of a group's crash with what this node had running on it.
+    /// Records a group's crash and the requests that this node had running on it.
     ///
-    /// Also of a group on which nothing ran: it may tell that its failure domain died.
+    /// Crashes with no request running count too: they can show that the failure domain
+    /// failed.
     pub fn on_crash(
         &mut self,
         group: &GroupId,
@@ -103,30 +105,30 @@
     ) {
         self.trials.remove(group);
         self.merge_crash(crash_id(group, epoch), failure_domain, now, running);
-        self.forget(now);
+        self.prune(now);
     }
 
-    /// A request ran to its end on a group that lives.
+    /// Clears a request that completed on a group that stayed up.
     pub fn on_completed(&mut self, fingerprint: RequestFingerprint, now: Instant) {
         if self.by_fingerprint.contains_key(&fingerprint) {
             self.cleared.insert(fingerprint, now);
         }
     }
 
-    /// How the request may run.
+    /// Returns how the request is allowed to run.
     pub fn status(&self, fingerprint: RequestFingerprint, now: Instant) -> SuspectStatus {
         let all = self.crashes_of(fingerprint, now);
-        let Some(last) = all.iter().map(|d| d.at).max() else {
+        let Some(last_crash) = all.iter().map(|c| c.at).max() else {
             return SuspectStatus::Clear;
         };
-        let own = self.without_common_cause(&all);
-        if own.is_empty() && all.len() == 1 {
+        let independent = self.without_common_cause(&all);
+        if independent.is_empty() && all.len() == 1 {
             return SuspectStatus::Clear;
         }
-        let age = now.saturating_duration_since(last);
-        let named =
-            all.len() >= quarantine_threshold(&all) || self.is_culprit(fingerprint, &own, now);
-        match named && age < QUARANTINE_TERM {
+        let age = now.saturating_duration_since(last_crash);
+        let quarantined = all.len() >= quarantine_threshold(&all)
+            || self.is_crash_cause(fingerprint, &independent, now);
+        match quarantined && age < QUARANTINE_TERM {
             true => SuspectStatus::Quarantined {
                 retry_after: QUARANTINE_TERM - age,
             },
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Begins a suspect's run at the group; false when another suspect runs there.
+    /// Starts a suspect's trial at the group; returns false if another suspect runs there.
     pub fn begin_trial(
         &mut self,
         fingerprint: RequestFingerprint,
@@ -153,23 +155,23 @@
         true
     }
 
-    /// Whether a suspect may run at the group now.
+    /// Returns whether a suspect may run at the group now.
     pub fn may_begin_trial(&self, group: &GroupId, now: Instant) -> bool {
         self.trials
             .get(group)
             .is_none_or(|t| !t.local && t.until <= now)
     }
 
-    /// Groups where a suspect runs: another suspect has to avoid them.
+    /// Returns the groups on which a suspect runs; other suspects must avoid them.
     pub fn groups_on_trial(&self, now: Instant) -> impl Iterator<Item = &GroupId> {
-        let runs = move |t: &Trial| t.local || now < t.until;
+        let running = move |t: &Trial| t.local || now < t.until;
         self.trials
             .iter()
-            .filter(move |(_, t)| runs(t))
+            .filter(move |(_, t)| running(t))
             .map(|(group, _)| group)
     }
 
-    /// Ends a suspect's run at the group, however it ended.
+    /// Ends a suspect's trial at the group, whatever its outcome.
     pub fn end_trial(&mut self, fingerprint: RequestFingerprint, group: &GroupId) {
         if self
             .trials
@@ -180,39 +182,41 @@
         }
     }
 
-    /// The crashes that speak against the request.
+    /// Returns the crashes that count against the request.
     fn crashes_of(&self, fingerprint: RequestFingerprint, now: Instant) -> SmallVec<[&Crash; 4]> {
         let cleared = self.cleared.get(&fingerprint);
         let ids = self.by_fingerprint.get(&fingerprint).into_iter().flatten();
         ids.filter_map(|id| self.crashes.get(id))
-            .filter(|d| now.saturating_duration_since(d.at) < CRASH_TTL)
-            .filter(|d| cleared.is_none_or(|at| d.at > *at))
+            .filter(|c| now.saturating_duration_since(c.at) < CRASH_TTL)
+            .filter(|c| cleared.is_none_or(|at| c.at > *at))
             .collect()
     }
 
-    fn is_culprit(
+    fn is_crash_cause(
         &self,
         fingerprint: RequestFingerprint,
         crashes: &[&Crash],
         now: Instant,
     ) -> bool {
         let other = |p: &&RequestFingerprint| **p != fingerprint;
-        let twice = |p: &RequestFingerprint| self.crashes_of(*p, now).len() >= CORRELATED_CRASHES;
-        let sole = |d: &&Crash| !d.running.iter().filter(other).any(twice);
-        crashes.len() >= CORRELATED_CRASHES && crashes.iter().any(sole)
+        let in_several = |p: &RequestFingerprint| self.crashes_of(*p, now).len() >= MIN_CRASHES;
+        let no_other_cause = |c: &&Crash| !c.running.iter().filter(other).any(in_several);
+        crashes.len() >= MIN_CRASHES && crashes.iter().any(no_other_cause)
     }
 
     fn without_common_cause<'a>(&self, crashes: &[&'a Crash]) -> SmallVec<[&'a Crash; 4]> {
         let all = crashes.iter().copied();
-        all.filter(|d| !self.has_common_cause(d)).collect()
+        all.filter(|c| !self.has_common_cause(c)).collect()
     }
 
-    /// A rack or switch that fails takes groups down that have no request in common.
-    /// Without this, whatever was retried within the domain would be named.
+    /// Returns whether the failure domain is the likelier cause of the crash.
+    ///
+    /// A failing rack or switch takes down groups that have no request in common.
+    /// Without this check, any request retried within the domain would be quarantined.
     fn has_common_cause(&self, crash: &Crash) -> bool {
         self.crashes.values().any(|other| {
             other.failure_domain == crash.failure_domain
-                && gap(other.at, crash.at) < COMMON_CAUSE_WINDOW
+                && abs_diff(other.at, crash.at) < COMMON_CAUSE_WINDOW
                 && other.running.is_disjoint(&crash.running)
         })
     }
@@ -235,11 +239,11 @@
         }
     }
 
-    fn forget(&mut self, now: Instant) {
-        let old = |at: Instant| now.saturating_duration_since(at) >= CRASH_TTL;
-        self.crashes.retain(|_, d| !old(d.at));
+    fn prune(&mut self, now: Instant) {
+        let expired = |at: Instant| now.saturating_duration_since(at) >= CRASH_TTL;
+        self.crashes.retain(|_, c| !expired(c.at));
         while self.crashes.len() > MAX_CRASHES {
-            let oldest = self.crashes.iter().min_by_key(|(id, d)| (d.at, **id));
+            let oldest = self.crashes.iter().min_by_key(|(id, c)| (c.at, **id));
             let Some(id) = oldest.map(|(id, _)| *id) else {
                 break;
             };
@@ -257,14 +261,14 @@
 }
 
 fn quarantine_threshold(crashes: &[&Crash]) -> usize {
-    let domain = |d: &[&Crash]| d[0].failure_domain == d[1].failure_domain;
-    match crashes.windows(2).all(domain) {
-        true => QUARANTINE_CRASHES_ONE_DOMAIN,
-        false => QUARANTINE_CRASHES,
+    let same_domain = |c: &[&Crash]| c[0].failure_domain == c[1].failure_domain;
+    match crashes.windows(2).all(same_domain) {
+        true => ONE_DOMAIN_CRASH_LIMIT,
+        false => CRASH_LIMIT,
     }
 }
 
-fn gap(a: Instant, b: Instant) -> Duration {
+fn abs_diff(a: Instant, b: Instant) -> Duration {
     a.saturating_duration_since(b)
         .max(b.saturating_duration_since(a))
 }
--- a/crates/route/src/suspects/record.rs
+++ b/crates/route/src/suspects/record.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other of suspects.
+//! Exchange of crash records between nodes.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -25,27 +25,27 @@
 }
 
 value! {
-    /// A crash and what ran, as far as the sender knows.
+    /// A crash and the requests running in it, as known to the sender.
     pub struct CrashRecord {
-        /// Which crash.
+        /// Identifies the crash at every node.
         pub id: CrashId,
-        /// Where the group was.
+        /// Failure domain of the group.
         pub failure_domain: FailureDomain,
-        /// How long ago the sender saw it.
+        /// Time since the sender saw it.
         pub age: Duration,
-        /// Fingerprints of what ran there.
+        /// Fingerprints of the requests running on the group.
         pub running: Vec<RequestFingerprint>,
     }
 
-    /// A request that ran to its end.
+    /// A request that completed after a crash.
     pub struct ClearedRecord {
         /// The request.
         pub fingerprint: RequestFingerprint,
-        /// How long ago.
+        /// Time since it completed.
         pub age: Duration,
     }
 
-    /// A suspect that runs at a group now.
+    /// A suspect running on a group now.
     pub struct TrialRecord {
         /// The suspect.
         pub fingerprint: RequestFingerprint,
@@ -53,12 +53,12 @@
         pub group: GroupId,
     }
 
-    /// All that a node tells of suspects. Empty at ordinary times.
+    /// The suspect state that a node sends to others; empty unless a group has crashed lately.
     #[derive(Default)]
     pub struct SuspectUpdate {
         /// Crashes.
         pub crashes: Vec<CrashRecord>,
-        /// Requests cleared since.
+        /// Requests cleared since they were in a crash.
         pub cleared: Vec<ClearedRecord>,
         /// The sender's own trials.
         pub trials: Vec<TrialRecord>,
@@ -66,21 +66,21 @@
 }
 
 impl SuspectTracker {
-    /// What this node tells others.
+    /// Returns the state to send to other nodes.
     pub fn export(&self, now: Instant) -> SuspectUpdate {
         let age = |at: Instant| now.saturating_duration_since(at);
-        let crashes = self.crashes.iter().map(|(id, d)| CrashRecord {
+        let crashes = self.crashes.iter().map(|(id, c)| CrashRecord {
             id: *id,
-            failure_domain: d.failure_domain.clone(),
-            age: age(d.at),
-            running: d.running.iter().copied().collect(),
+            failure_domain: c.failure_domain.clone(),
+            age: age(c.at),
+            running: c.running.iter().copied().collect(),
         });
         let cleared = self.cleared.iter().map(|(fingerprint, at)| ClearedRecord {
             fingerprint: *fingerprint,
             age: age(*at),
         });
-        let own = self.trials.iter().filter(|(_, t)| t.local);
-        let trials = own.map(|(group, t)| TrialRecord {
+        let local = self.trials.iter().filter(|(_, t)| t.local);
+        let trials = local.map(|(group, t)| TrialRecord {
             fingerprint: t.fingerprint,
             group: group.clone(),
         });
@@ -91,10 +91,10 @@
         }
     }
 
-    /// Takes in what another node tells; doubled and reordered news change nothing.
-    pub fn merge(&mut self, news: SuspectUpdate, now: Instant) {
+    /// Merges another node's update; duplicates and reordering have no effect.
+    pub fn merge(&mut self, update: SuspectUpdate, now: Instant) {
         let at = |age: Duration| now.checked_sub(age).unwrap_or(now);
-        for crash in news.crashes {
+        for crash in update.crashes {
             self.merge_crash(
                 crash.id,
                 &crash.failure_domain,
@@ -102,24 +102,24 @@
                 crash.running,
             );
         }
-        for cleared in news.cleared {
+        for cleared in update.cleared {
             let known = self
                 .cleared
                 .entry(cleared.fingerprint)
                 .or_insert(at(cleared.age));
             *known = (*known).max(at(cleared.age));
         }
-        for trial in news.trials {
-            let heard = Trial {
+        for trial in update.trials {
+            let remote = Trial {
                 fingerprint: trial.fingerprint,
                 until: now + TRIAL_TTL,
                 local: false,
             };
-            let own = self.trials.get(&trial.group).is_some_and(|t| t.local);
-            if !own {
-                self.trials.insert(trial.group, heard);
+            let local = self.trials.get(&trial.group).is_some_and(|t| t.local);
+            if !local {
+                self.trials.insert(trial.group, remote);
             }
         }
-        self.forget(now);
+        self.prune(now);
     }
 }
