--- a/crates/route/src/queue/account.rs
+++ b/crates/route/src/queue/account.rs
@@ -1,43 +1,43 @@
-//! One tenant's account in a queue: what it has used and what it waits for.
+//! One tenant's account in a queue: its virtual finish time and waiting requests.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
 
 use eelgrassmill_base::{Tokens, Urgency};
 
-use crate::queue::offer::Ticket;
+use crate::queue::request::Ticket;
 
-/// Tokens over weight, scaled by [`SCALE`].
+/// Tokens divided by weight, scaled by [`SCALE`].
 pub(crate) type VirtualTime = u64;
 
-/// Keeps small requests of heavy tenants from rounding to nothing.
+/// Keeps small requests of tenants with a large weight from rounding to 0.
 const SCALE: u64 = 1024;
 
-/// What `tokens` cost a tenant of `weight`.
+/// Returns the virtual time that `tokens` cost a tenant of `weight`.
 pub(crate) fn cost(tokens: Tokens, weight: u32) -> VirtualTime {
     tokens.saturating_mul(SCALE) / u64::from(weight.max(1))
 }
 
-/// One waiting request.
+/// A waiting request.
 #[derive(Debug)]
 pub(crate) struct Queued<T> {
     pub(crate) tokens: Tokens,
-    /// From here on it can't be answered in time even when started at once.
-    pub(crate) give_up_at: Instant,
-    /// It was cancelled and resumed once.
-    pub(crate) resumed: bool,
+    /// When it has to start at the latest to be answered before its deadline.
+    pub(crate) start_deadline: Instant,
+    /// Whether it was preempted and requeued once.
+    pub(crate) requeued: bool,
     pub(crate) payload: T,
 }
 
-/// Order in which a tenant's own requests start.
+/// Orders the requests of one tenant: by urgency, then by arrival.
 pub(crate) type Position = (Urgency, Ticket);
 
 #[derive(Debug)]
 pub(crate) struct Account<T> {
     pub(crate) weight: u32,
-    /// Virtual time at which the tenant's last started request is paid for.
+    /// Virtual finish time of the tenant's last dequeued request.
     ///
-    /// Invariant: one account for all classes. With one per class, a tenant
+    /// Invariant: one account for all urgencies. With one for each, a tenant
     /// that marks everything urgent would be served from two shares.
     pub(crate) finish: VirtualTime,
     pub(crate) queued: BTreeMap<Position, Queued<T>>,
@@ -72,7 +72,7 @@
         self.queued.first_key_value().map(|(p, _)| *p)
     }
 
-    /// The least urgent, youngest request.
+    /// Returns the least urgent, youngest request.
     pub(crate) fn tail(&self) -> Option<Position> {
         self.queued.last_key_value().map(|(p, _)| *p)
     }
@@ -85,19 +85,19 @@
         self.running > 0 || !self.queued.is_empty()
     }
 
-    /// Charges a started request.
+    /// Charges a dequeued request.
     pub(crate) fn charge(&mut self, tokens: Tokens) {
         self.finish = self.finish.saturating_add(cost(tokens, self.weight));
     }
 
-    /// Replaces an estimate by what was really used.
-    pub(crate) fn correct(&mut self, estimate: Tokens, real: Tokens) {
+    /// Replaces the charge of an estimate by the tokens actually used.
+    pub(crate) fn correct(&mut self, estimate: Tokens, used: Tokens) {
         self.finish = self.finish.saturating_sub(cost(estimate, self.weight));
-        self.charge(real);
+        self.charge(used);
     }
 
-    /// Requests held in the queue over the weight, for finding who holds most.
-    pub(crate) fn held(&self, extra: usize) -> VirtualTime {
+    /// Returns the queued requests divided by the weight, to find the largest share.
+    pub(crate) fn queue_share(&self, extra: usize) -> VirtualTime {
         cost((self.queued.len() + extra) as Tokens, self.weight)
     }
 }
--- a/crates/route/src/queue/admit.rs
+++ b/crates/route/src/queue/admit.rs
@@ -1,4 +1,4 @@
-//! Who gets into the queue, and who is told at once that it won't work.
+//! Admission control: which requests enter the queue and which are refused.
 
 use std::time::{Duration, Instant};
 
@@ -7,47 +7,52 @@
 use crate::queue::account::{Account, Queued};
 use crate::queue::{AdmissionRequest, Refusal, RefusalReason, ServiceQueue, Ticket};
 
-/// Largest part by which `retry_after` is lengthened at random.
-const JITTER: f64 = 0.5;
+/// Maximum fraction added to `retry_after` at random.
+const RETRY_JITTER: f64 = 0.5;
 
 impl<T> ServiceQueue<T> {
-    /// Admits a request, or refuses it at once.
+    /// Admits a request, or refuses it immediately.
     ///
     /// # Errors
-    /// When a queue is full or the deadline can't be met at the measured pace.
+    /// If a queue is full or the deadline can't be met at the measured service time.
     pub fn admit(
         &mut self,
-        offer: AdmissionRequest,
+        req: AdmissionRequest,
         payload: T,
         now: Instant,
     ) -> Result<Ticket, Refusal> {
-        // An idle service tries whatever comes: its pace may be an old one, and
-        // refusing by it would keep it from ever being measured anew.
+        // An idle service admits any request: its measured service time may be stale, and
+        // if it refused all requests by it, no new measurement would replace it.
         let idle = self.running.is_empty() && self.waiting.is_empty();
-        let needs = match idle {
+        let run_time = match idle {
             true => Duration::ZERO,
-            false => self.time_alone(&offer),
+            false => self.estimated_run_time(&req),
         };
-        let wait = self.wait(&offer);
-        let left = offer.deadline.saturating_duration_since(now);
-        let due = wait.saturating_add(needs);
-        if left.is_zero() || due > left {
-            let late = due.saturating_sub(left);
+        let wait = self.estimated_wait(&req);
+        let remaining = req.deadline.saturating_duration_since(now);
+        let total = wait.saturating_add(run_time);
+        if remaining.is_zero() || total > remaining {
+            let late = total.saturating_sub(remaining);
             return Err(self.refusal(RefusalReason::DeadlineTooNear, late));
         }
-        self.make_room(&offer, wait)?;
-        let give_up_at = offer.deadline.checked_sub(needs).unwrap_or(now);
-        Ok(self.enqueue_new(offer, payload, give_up_at))
+        self.make_room(&req, wait)?;
+        let start_deadline = req.deadline.checked_sub(run_time).unwrap_or(now);
+        Ok(self.enqueue_new(req, payload, start_deadline))
     }
 
-    fn enqueue_new(&mut self, offer: AdmissionRequest, payload: T, give_up_at: Instant) -> Ticket {
+    fn enqueue_new(
+        &mut self,
+        req: AdmissionRequest,
+        payload: T,
+        start_deadline: Instant,
+    ) -> Ticket {
         let queued = Queued {
-            tokens: offer.tokens,
-            give_up_at,
-            resumed: false,
+            tokens: req.tokens,
+            start_deadline,
+            requeued: false,
             payload,
         };
-        self.enqueue(offer.tenant, offer.weight, offer.urgency, queued)
+        self.enqueue(req.tenant, req.weight, req.urgency, queued)
     }
 
     pub(super) fn enqueue(
@@ -64,16 +69,16 @@
         if urgency.is_urgent() {
             self.queued_urgent_tokens += queued.tokens;
         }
-        self.give_up.insert((queued.give_up_at, ticket));
-        let earliest = self.earliest_finish(weight);
+        self.start_deadlines.insert((queued.start_deadline, ticket));
+        let min_finish = self.min_finish(weight);
         self.tenants
             .entry(tenant.clone())
-            .or_insert_with(|| Account::new(weight, earliest));
-        self.change(&tenant, |account| {
+            .or_insert_with(|| Account::new(weight, min_finish));
+        self.update_account(&tenant, |account| {
             account.weight = weight.max(1);
-            // A tenant that was idle has no claim on all the time it left unused.
+            // A returning tenant gets credit for unused share only up to the burst.
             if account.queued.is_empty() {
-                account.finish = account.finish.max(earliest);
+                account.finish = account.finish.max(min_finish);
             }
             account.push(position, queued);
         });
@@ -81,90 +86,92 @@
         ticket
     }
 
-    fn time_alone(&self, offer: &AdmissionRequest) -> Duration {
-        match offer.urgency.is_urgent() {
-            true => self.urgent_pace.time_for(offer.tokens, 1),
-            false => self.normal_pace.time_for(offer.tokens, 1),
+    fn estimated_run_time(&self, req: &AdmissionRequest) -> Duration {
+        match req.urgency.is_urgent() {
+            true => self.urgent_service_time.estimate(req.tokens, 1),
+            false => self.normal_service_time.estimate(req.tokens, 1),
         }
     }
 
-    /// How long the request would wait for its start at the measured pace.
-    fn wait(&self, offer: &AdmissionRequest) -> Duration {
+    /// Estimates how long the request would wait in the queue.
+    fn estimated_wait(&self, req: &AdmissionRequest) -> Duration {
         let urgent = self.queued_urgent_tokens;
-        if offer.urgency.is_urgent() {
-            return self.urgent_pace.time_for(urgent, self.running_urgent);
+        if req.urgency.is_urgent() {
+            return self
+                .urgent_service_time
+                .estimate(urgent, self.running_urgent);
         }
-        let weight = u64::from(offer.weight.max(1));
-        let (own, others) = match self.tenants.get(&offer.tenant) {
+        let weight = u64::from(req.weight.max(1));
+        let (own, others) = match self.tenants.get(&req.tenant) {
             Some(a) if !a.queued.is_empty() => {
                 (a.queued_tokens, self.backlog_weight - u64::from(a.weight))
             }
             _ => (0, self.backlog_weight),
         };
-        // In fair order the others get at most their weights' worth of what the tenant gets.
+        // In fair order the other tenants get at most `others / weight` times what this one gets.
         let shared = own.saturating_mul(weight + others) / weight;
         let ahead = shared.min(self.queued_tokens).max(urgent);
-        self.normal_pace.time_for(ahead, self.running.len())
+        self.normal_service_time.estimate(ahead, self.running.len())
     }
 
-    fn make_room(&mut self, offer: &AdmissionRequest, wait: Duration) -> Result<(), Refusal> {
-        let own = self.tenants.get(&offer.tenant);
-        if own.map_or(0, |a| a.queued.len()) >= offer.max_tenant_queue as usize {
+    fn make_room(&mut self, req: &AdmissionRequest, wait: Duration) -> Result<(), Refusal> {
+        let own = self.tenants.get(&req.tenant);
+        if own.map_or(0, |a| a.queued.len()) >= req.max_tenant_queue as usize {
             return Err(self.refusal(RefusalReason::TenantQueueFull, wait));
         }
         if self.waiting.len() < self.opts.max_queue {
             return Ok(());
         }
-        // A greedy tenant may fill the queue; without displacing it, the
-        // others would be refused for a load that isn't theirs.
-        let held = own.unwrap_or(&Account::new(offer.weight, 0)).held(1);
-        match self.largest_holder() {
-            Some((most, tenant)) if most > held => self.displace(&tenant),
-            Some((_, tenant)) if tenant == offer.tenant => {
+        // One tenant may fill the queue; without displacing its requests, the
+        // others would be refused for a load they didn't cause.
+        let own_share = own.unwrap_or(&Account::new(req.weight, 0)).queue_share(1);
+        match self.largest_queue_share() {
+            Some((largest, tenant)) if largest > own_share => self.displace(&tenant),
+            Some((_, tenant)) if tenant == req.tenant => {
                 Err(self.refusal(RefusalReason::OverFairShare, wait))
             }
             _ => Err(self.refusal(RefusalReason::QueueFull, wait)),
         }
     }
 
-    fn largest_holder(&self) -> Option<(u64, TenantId)> {
-        let holders = self.tenants.iter().map(|(t, a)| (a.held(0), t));
-        holders.max().map(|(held, t)| (held, t.clone()))
+    fn largest_queue_share(&self) -> Option<(u64, TenantId)> {
+        let shares = self.tenants.iter().map(|(t, a)| (a.queue_share(0), t));
+        shares.max().map(|(share, t)| (share, t.clone()))
     }
 
     fn displace(&mut self, tenant: &TenantId) -> Result<(), Refusal> {
         let tail = self.tenants.get(tenant).and_then(|a| a.tail());
-        if let Some(queued) = tail.and_then(|(_, ticket)| self.take(ticket)) {
+        if let Some(queued) = tail.and_then(|(_, ticket)| self.remove_waiting(ticket)) {
             let wait = self
-                .normal_pace
-                .time_for(self.queued_tokens, self.running.len());
+                .normal_service_time
+                .estimate(self.queued_tokens, self.running.len());
             let refusal = self.refusal(RefusalReason::OverFairShare, wait);
-            self.given_up.push((queued.payload, refusal));
+            self.refused.push((queued.payload, refusal));
         }
         Ok(())
     }
 
-    /// Moves out what can't be answered in time any more, even when started now.
-    pub(super) fn give_up_late(&mut self, now: Instant) {
-        while let Some((at, ticket)) = self.give_up.first().copied() {
+    /// Refuses waiting requests that would miss their deadline even if started now.
+    pub(super) fn refuse_expired(&mut self, now: Instant) {
+        while let Some((at, ticket)) = self.start_deadlines.first().copied() {
             if at > now {
                 return;
             }
-            let Some(queued) = self.take(ticket) else {
-                self.give_up.remove(&(at, ticket));
+            let Some(queued) = self.remove_waiting(ticket) else {
+                self.start_deadlines.remove(&(at, ticket));
                 continue;
             };
             let wait = self
-                .normal_pace
-                .time_for(self.queued_tokens, self.running.len());
+                .normal_service_time
+                .estimate(self.queued_tokens, self.running.len());
             let refusal = self.refusal(RefusalReason::DeadlineTooNear, wait);
-            self.given_up.push((queued.payload, refusal));
+            self.refused.push((queued.payload, refusal));
         }
     }
 
     fn refusal(&mut self, reason: RefusalReason, wait: Duration) -> Refusal {
         let wait = wait.clamp(self.opts.min_retry_after, self.opts.max_retry_after);
-        let retry_after = wait.mul_f64(1.0 + JITTER * self.rng.f64());
+        let retry_after = wait.mul_f64(1.0 + RETRY_JITTER * self.rng.f64());
         Refusal {
             reason,
             retry_after,
--- a/crates/route/src/queue/mod.rs
+++ b/crates/route/src/queue/mod.rs
@@ -1,17 +1,17 @@
 //! Admission and weighted fair order of one service's requests at one node.
 //!
-//! Start-time fair queueing in tokens: each tenant has a virtual finish time,
-//! the tenant with the earliest one starts next. Urgent requests go first and
-//! may use the slots held back for them, as long as their tenant is not ahead
-//! of a waiting tenant by more than a fixed lead; beyond it they count as any
-//! other request of that tenant.
+//! Start-time fair queueing in tokens: each tenant has a virtual finish time, and
+//! the tenant with the earliest one is served next. Urgent requests go first and
+//! may use the slots reserved for them, as long as their tenant is not ahead of a
+//! waiting tenant by more than a fixed lead; beyond that they are ordered like any
+//! other request of the tenant.
 
 mod account;
 mod admit;
-mod elsewhere;
-mod offer;
-mod pace;
 mod preempt;
+mod remote_usage;
+mod request;
+mod service_time;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -19,14 +19,14 @@
 use eelgrassmill_base::{TenantId, Tokens, Urgency};
 
 use crate::queue::account::{Account, Position, Queued, VirtualTime, cost};
-pub use crate::queue::elsewhere::TenantUsage;
-pub use crate::queue::offer::{
+pub use crate::queue::remote_usage::TenantUsage;
+pub use crate::queue::request::{
     AdmissionRequest, Dequeued, Refusal, RefusalReason, SlotKind, Slots, Ticket,
 };
-use crate::queue::pace::Pace;
+use crate::queue::service_time::ServiceTime;
 
-/// One normal slot in this many is kept free of tenants that are over their share.
-const HEADROOM_PART: u64 = 12;
+/// One normal slot in this many is kept free of tenants over their fair share.
+const HEADROOM_DIVISOR: u64 = 12;
 
 /// Settings of a [`ServiceQueue`].
 #[derive(Clone, Debug)]
@@ -53,88 +53,88 @@
 }
 
 impl QueueOptions {
-    /// Longest queue over all tenants, in requests.
+    /// Sets the maximum queue length over all tenants, in requests.
     pub fn max_queue(mut self, requests: u32) -> QueueOptions {
         self.max_queue = requests as usize;
         self
     }
 
-    /// Tokens by which a tenant's urgent requests may run ahead of a waiting tenant.
+    /// Sets the tokens by which a tenant's urgent requests may get ahead of a waiting tenant.
     pub fn urgent_lead(mut self, tokens: Tokens) -> QueueOptions {
         self.urgent_lead = tokens;
         self
     }
 
-    /// Tokens of its share that a tenant may leave unused and use later, at once.
+    /// Sets the unused tokens of its share that a tenant may save for a burst.
     ///
-    /// Without any, a tenant well within its share on average waits whenever its
-    /// requests bunch, for as long as a greedy tenant is there.
+    /// At 0, a tenant that is within its share on average still waits whenever its
+    /// requests arrive in bursts while another tenant overloads the service.
     pub fn burst(mut self, tokens: Tokens) -> QueueOptions {
         self.burst = tokens;
         self
     }
 
-    /// Seed of the jitter in `retry_after`; give each node its own.
+    /// Sets the seed of the jitter in `retry_after`; use a different one on each node.
     pub fn seed(mut self, seed: u64) -> QueueOptions {
         self.seed = seed;
         self
     }
 }
 
-/// A started request until it is settled.
+/// A request between [`ServiceQueue::dequeue`] and its completion.
 #[derive(Debug)]
 struct Running {
     tenant: TenantId,
     weight: u32,
     tokens: Tokens,
     urgency: Urgency,
-    since: Instant,
-    give_up_at: Instant,
-    /// It was cancelled and resumed once.
-    resumed: bool,
+    started_at: Instant,
+    start_deadline: Instant,
+    /// Whether it was preempted and requeued once.
+    requeued: bool,
 }
 
 /// The queue of one service at one node. `T` is the caller's payload.
 ///
-/// Requests that the queue gives up on come out of [`ServiceQueue::take_refused`];
-/// call it after each `admit` and `dequeue` and at [`ServiceQueue::next_deadline`],
-/// so that each gets its final answer at once.
+/// Requests that the queue refuses after admission are returned by
+/// [`ServiceQueue::take_refused`]; call it after each `admit` and `dequeue` and at
+/// [`ServiceQueue::next_deadline`], so that their callers get the refusal without delay.
 #[derive(Debug)]
 pub struct ServiceQueue<T> {
     opts: QueueOptions,
     rng: fastrand::Rng,
     tenants: BTreeMap<TenantId, Account<T>>,
-    /// Invariant: exactly the tenants with something queued, by finish time.
+    /// Invariant: exactly the tenants with queued requests, by finish time.
     backlog: BTreeSet<(VirtualTime, TenantId)>,
-    /// Invariant: the part of `backlog` with an urgent request queued.
+    /// Invariant: the subset of `backlog` with an urgent request queued.
     urgent_backlog: BTreeSet<(VirtualTime, TenantId)>,
     /// Invariant: the sum of the weights in `backlog`.
     backlog_weight: u64,
     waiting: BTreeMap<Ticket, (TenantId, Position)>,
     running: BTreeMap<Ticket, Running>,
     running_urgent: usize,
-    /// Invariant: the sum of the weights of tenants with anything waiting or running.
+    /// Invariant: the sum of the weights of tenants with waiting or running requests.
     active_weight: u64,
-    give_up: BTreeSet<(Instant, Ticket)>,
-    given_up: Vec<(T, Refusal)>,
-    /// Start tag of the last request started in fair order; never falls.
-    virtual_now: VirtualTime,
+    start_deadlines: BTreeSet<(Instant, Ticket)>,
+    refused: Vec<(T, Refusal)>,
+    /// Start tag of the last request dequeued in fair order; never decreases.
+    virtual_time: VirtualTime,
     queued_tokens: Tokens,
     queued_urgent_tokens: Tokens,
-    /// Weight and tokens charged by tenant, not yet told to other entries.
+    /// Weight and tokens charged by tenant, not yet reported to other entries.
     usage: BTreeMap<TenantId, (u32, i64)>,
-    normal_pace: Pace,
-    urgent_pace: Pace,
+    normal_service_time: ServiceTime,
+    urgent_service_time: ServiceTime,
     last_ticket: u64,
 }
 
 impl<T> ServiceQueue<T> {
-    /// Changes the longest queue. Requests that wait already stay.
+    /// Changes the maximum queue length. Requests already waiting are kept.
     pub fn set_max_queue(&mut self, requests: u32) {
         self.opts.max_queue = requests as usize;
     }
 
-    /// Makes an empty queue.
+    /// Creates an empty queue.
     pub fn new(opts: QueueOptions) -> ServiceQueue<T> {
         ServiceQueue {
             rng: fastrand::Rng::with_seed(opts.seed),
@@ -147,34 +147,34 @@
             running: BTreeMap::new(),
             running_urgent: 0,
             active_weight: 0,
-            give_up: BTreeSet::new(),
-            given_up: Vec::new(),
-            virtual_now: 0,
+            start_deadlines: BTreeSet::new(),
+            refused: Vec::new(),
+            virtual_time: 0,
             queued_tokens: 0,
             queued_urgent_tokens: 0,
             usage: BTreeMap::new(),
-            normal_pace: Pace::default(),
-            urgent_pace: Pace::default(),
+            normal_service_time: ServiceTime::default(),
+            urgent_service_time: ServiceTime::default(),
             last_ticket: 0,
         }
     }
 
-    /// Requests waiting.
+    /// Returns the number of waiting requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether nothing waits.
+    /// Returns whether no request is waiting.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// Requests started and not settled.
+    /// Returns the number of requests dequeued and not completed.
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Waiting requests, the urgent ones apart, as demand for quotas.
+    /// Returns the waiting requests by kind of slot, as demand for quotas.
     pub fn demand(&self) -> Slots {
         let urgent = self
             .waiting
@@ -187,59 +187,63 @@
         }
     }
 
-    /// Takes the next request that may start in `free`, which the caller then occupies.
+    /// Returns the next request that may run in the `free` slots; the caller occupies one.
     pub fn dequeue(&mut self, free: Slots, now: Instant) -> Option<Dequeued<T>> {
-        self.give_up_late(now);
+        self.refuse_expired(now);
         if let Some((tenant, slot)) = self.next_urgent(free) {
-            return self.begin(tenant, slot, now);
+            return self.start_request(tenant, slot, now);
         }
         let (finish, tenant) = self.backlog.first().cloned()?;
         if free.normal <= self.headroom(&tenant, free) {
             return None;
         }
-        self.virtual_now = self.virtual_now.max(finish);
-        self.begin(tenant, SlotKind::Normal, now)
+        self.virtual_time = self.virtual_time.max(finish);
+        self.start_request(tenant, SlotKind::Normal, now)
     }
 
-    /// Ends a started request that really used `tokens`.
+    /// Completes a dequeued request that actually used `tokens`.
     pub fn complete(&mut self, ticket: Ticket, tokens: Tokens, now: Instant) {
-        let Some(run) = self.end(ticket) else {
+        let Some(run) = self.remove_running(ticket) else {
             return;
         };
-        let pace = match run.urgency.is_urgent() {
-            true => &mut self.urgent_pace,
-            false => &mut self.normal_pace,
+        let service_time = match run.urgency.is_urgent() {
+            true => &mut self.urgent_service_time,
+            false => &mut self.normal_service_time,
         };
-        pace.observe(now.saturating_duration_since(run.since), run.tokens, now);
-        self.correct(&run, tokens);
+        service_time.observe(
+            now.saturating_duration_since(run.started_at),
+            run.tokens,
+            now,
+        );
+        self.correct_charge(&run, tokens);
     }
 
-    /// Withdraws a request whose caller has gone.
+    /// Cancels a request whose caller has disconnected.
     ///
-    /// A waiting one costs its tenant nothing and gives its payload back; a
-    /// started one that never reached a target is not charged either.
+    /// A waiting request is not charged and its payload is returned; a dequeued one
+    /// that never reached a target is not charged either.
     pub fn cancel(&mut self, ticket: Ticket) -> Option<T> {
-        if let Some(run) = self.end(ticket) {
-            self.correct(&run, 0);
+        if let Some(run) = self.remove_running(ticket) {
+            self.correct_charge(&run, 0);
             return None;
         }
-        self.take(ticket).map(|q| q.payload)
+        self.remove_waiting(ticket).map(|q| q.payload)
     }
 
-    /// Requests given up on since the last call; each is to be answered at once.
+    /// Returns the requests refused since the last call, to be answered immediately.
     pub fn take_refused(&mut self, now: Instant) -> Vec<(T, Refusal)> {
-        self.give_up_late(now);
-        std::mem::take(&mut self.given_up)
+        self.refuse_expired(now);
+        std::mem::take(&mut self.refused)
     }
 
-    /// When `take_refused` has to be called next.
+    /// Returns when `take_refused` must be called next.
     pub fn next_deadline(&self) -> Option<Instant> {
-        self.give_up.first().map(|(at, _)| *at)
+        self.start_deadlines.first().map(|(at, _)| *at)
     }
 
-    /// The least served tenant with an urgent request, unless it is over its lead.
+    /// Returns the least served tenant with an urgent request, unless it exceeds its lead.
     ///
-    /// The set is ordered by finish time, so when the first is over, all are.
+    /// The set is ordered by finish time, so if the first exceeds it, all do.
     fn next_urgent(&self, free: Slots) -> Option<(TenantId, SlotKind)> {
         let slot = match free {
             Slots { urgent: 1.., .. } => SlotKind::Urgent,
@@ -250,15 +254,16 @@
         let weight = self.tenants.get(tenant)?.weight;
         let others = self.backlog.iter().find(|(_, t)| t != tenant);
         let lead = cost(self.opts.urgent_lead, weight);
-        let over = others.is_some_and(|(least, _)| *finish > least.saturating_add(lead));
-        (!over).then(|| (tenant.clone(), slot))
+        let exceeds =
+            others.is_some_and(|(min_finish, _)| *finish > min_finish.saturating_add(lead));
+        (!exceeds).then(|| (tenant.clone(), slot))
     }
 
-    /// Normal slots that the tenant has to leave free.
+    /// Returns the normal slots that the tenant must leave free.
     ///
-    /// A tenant that has used up what it left unused and runs its share leaves a few to
+    /// A tenant that has spent its burst and runs its fair share leaves some slots to
     /// the active tenants that have nothing waiting: their next requests would
-    /// otherwise wait for one of its drafts to end.
+    /// otherwise wait for one of its running requests to finish.
     fn headroom(&self, tenant: &TenantId, free: Slots) -> u32 {
         let Some(account) = self.tenants.get(tenant) else {
             return 0;
@@ -267,26 +272,31 @@
         let all = normal + u64::from(free.normal);
         let active = self.active_weight.max(1);
         let share = all * u64::from(account.weight) / active;
-        if account.finish < self.virtual_now || u64::from(account.running) < share {
+        if account.finish < self.virtual_time || u64::from(account.running) < share {
             return 0;
         }
-        if all < HEADROOM_PART {
+        if all < HEADROOM_DIVISOR {
             return 0;
         }
-        let not_waiting = self.active_weight - self.backlog_weight;
-        (all * not_waiting).div_ceil(active * HEADROOM_PART) as u32
+        let no_backlog_weight = self.active_weight - self.backlog_weight;
+        (all * no_backlog_weight).div_ceil(active * HEADROOM_DIVISOR) as u32
     }
 
-    fn begin(&mut self, tenant: TenantId, slot: SlotKind, now: Instant) -> Option<Dequeued<T>> {
+    fn start_request(
+        &mut self,
+        tenant: TenantId,
+        slot: SlotKind,
+        now: Instant,
+    ) -> Option<Dequeued<T>> {
         let position = self.tenants.get(&tenant)?.head()?;
         let ticket = position.1;
-        let queued = self.take(ticket)?;
-        let weight = self.change(&tenant, |account| {
+        let queued = self.remove_waiting(ticket)?;
+        let weight = self.update_account(&tenant, |account| {
             account.running += 1;
             account.charge(queued.tokens);
             account.weight
         })?;
-        self.note_usage(&tenant, weight, queued.tokens as i64);
+        self.record_usage(&tenant, weight, queued.tokens as i64);
         let urgency = position.0;
         self.running_urgent += usize::from(urgency.is_urgent());
         let run = Running {
@@ -294,9 +304,9 @@
             weight,
             tokens: queued.tokens,
             urgency,
-            since: now,
-            give_up_at: queued.give_up_at,
-            resumed: queued.resumed,
+            started_at: now,
+            start_deadline: queued.start_deadline,
+            requeued: queued.requeued,
         };
         self.running.insert(ticket, run);
         Some(Dequeued {
@@ -306,45 +316,46 @@
         })
     }
 
-    fn end(&mut self, ticket: Ticket) -> Option<Running> {
+    fn remove_running(&mut self, ticket: Ticket) -> Option<Running> {
         let run = self.running.remove(&ticket)?;
         self.running_urgent -= usize::from(run.urgency.is_urgent());
         Some(run)
     }
 
-    fn correct(&mut self, run: &Running, real: Tokens) {
-        self.change(&run.tenant, |account| {
+    fn correct_charge(&mut self, run: &Running, used: Tokens) {
+        self.update_account(&run.tenant, |account| {
             account.running -= 1;
-            account.correct(run.tokens, real);
+            account.correct(run.tokens, used);
         });
-        let difference = real as i64 - run.tokens as i64;
-        self.note_usage(&run.tenant, run.weight, difference);
-        self.forget_idle(&run.tenant);
+        let difference = used as i64 - run.tokens as i64;
+        self.record_usage(&run.tenant, run.weight, difference);
+        self.remove_if_idle(&run.tenant);
     }
 
-    /// Where a tenant's account stands that has left its share unused for long.
-    fn earliest_finish(&self, weight: u32) -> VirtualTime {
-        self.virtual_now
+    /// Returns the finish time of a tenant that has saved its full burst.
+    fn min_finish(&self, weight: u32) -> VirtualTime {
+        self.virtual_time
             .saturating_sub(cost(self.opts.burst, weight))
     }
 
-    /// Drops the account of a tenant that stands no better than a new one.
+    /// Removes a tenant's account if it is idle and equal to a new one.
     ///
-    /// Without this, every tenant ever seen would cost memory for good.
-    fn forget_idle(&mut self, tenant: &TenantId) {
+    /// Without this, memory would grow with every tenant ever seen.
+    fn remove_if_idle(&mut self, tenant: &TenantId) {
         let idle = self.tenants.get(tenant).is_some_and(|a| {
             let unused = a.running == 0 && a.queued.is_empty();
-            unused && a.finish <= self.earliest_finish(a.weight)
+            unused && a.finish <= self.min_finish(a.weight)
         });
         if idle {
             self.tenants.remove(tenant);
         }
     }
 
-    fn take(&mut self, ticket: Ticket) -> Option<Queued<T>> {
+    fn remove_waiting(&mut self, ticket: Ticket) -> Option<Queued<T>> {
         let (tenant, position) = self.waiting.remove(&ticket)?;
-        let queued = self.change(&tenant, |account| account.remove(position))??;
-        self.give_up.remove(&(queued.give_up_at, ticket));
+        let queued = self.update_account(&tenant, |account| account.remove(position))??;
+        self.start_deadlines
+            .remove(&(queued.start_deadline, ticket));
         self.queued_tokens -= queued.tokens;
         if position.0.is_urgent() {
             self.queued_urgent_tokens -= queued.tokens;
@@ -352,8 +363,12 @@
         Some(queued)
     }
 
-    /// Changes an account and keeps the ordered sets in step with it.
-    fn change<R>(&mut self, tenant: &TenantId, f: impl FnOnce(&mut Account<T>) -> R) -> Option<R> {
+    /// Updates an account and the ordered sets and sums derived from it.
+    fn update_account<R>(
+        &mut self,
+        tenant: &TenantId,
+        f: impl FnOnce(&mut Account<T>) -> R,
+    ) -> Option<R> {
         let account = self.tenants.get_mut(tenant)?;
         let key = (account.finish, tenant.clone());
         if self.backlog.remove(&key) {
--- a/crates/route/src/queue/preempt.rs
+++ b/crates/route/src/queue/preempt.rs
@@ -1,4 +1,4 @@
-//! Cancelling a draft at its engine so that someone else's turn can come, and resuming it.
+//! Preemption: cancels a running request at its engine in favor of another tenant's.
 
 use eelgrassmill_base::{TenantId, Tokens};
 
@@ -6,61 +6,67 @@
 use crate::queue::{ServiceQueue, Slots, Ticket};
 
 impl<T> ServiceQueue<T> {
-    /// A running draft to cancel and resume later, where the engine can resume.
+    /// Returns a running non-urgent request to cancel and resume later.
     ///
-    /// Ask when `dequeue` gives nothing. There is one when an urgent request waits, or
-    /// a tenant with unused share, while another runs more than its share: the
-    /// youngest draft of that one. A draft is cancelled once at most, so that
-    /// each makes progress. Only those for which `can` holds are considered. Give it
-    /// back with [`ServiceQueue::requeue`].
-    pub fn preemption_victim(&self, free: Slots, can: impl Fn(Ticket) -> bool) -> Option<Ticket> {
+    /// To be called when `dequeue` returns `None`. If an urgent request or a tenant
+    /// with unused share waits while another tenant runs more than its share, the victim
+    /// is that tenant's youngest non-urgent request. Each request is preempted at most
+    /// once, so that all make progress. Only requests for which `can_resume` holds are
+    /// considered. Requeue it with [`ServiceQueue::requeue`].
+    pub fn preemption_victim(
+        &self,
+        free: Slots,
+        can_resume: impl Fn(Ticket) -> bool,
+    ) -> Option<Ticket> {
         if free.normal > 0 {
             return None;
         }
-        let claimant = self.claimant(free)?;
-        let candidates = self.running.iter().rev();
-        let mut drafts = candidates.filter(|(_, r)| !r.urgency.is_urgent() && !r.resumed);
-        drafts
-            .find(|(t, r)| r.tenant != *claimant && self.is_over(&r.tenant) && can(**t))
+        let preemptor = self.preemptor(free)?;
+        let youngest_first = self.running.iter().rev();
+        let mut preemptible = youngest_first.filter(|(_, r)| !r.urgency.is_urgent() && !r.requeued);
+        preemptible
+            .find(|(t, r)| {
+                r.tenant != *preemptor && self.is_over_share(&r.tenant) && can_resume(**t)
+            })
             .map(|(ticket, _)| *ticket)
     }
 
-    /// The tenant for whom a draft may be cancelled.
-    fn claimant(&self, free: Slots) -> Option<&TenantId> {
+    /// Returns the tenant on whose behalf a request may be preempted.
+    fn preemptor(&self, free: Slots) -> Option<&TenantId> {
         if free.urgent == 0 && !self.urgent_backlog.is_empty() {
-            let any = Slots {
+            let one_normal = Slots {
                 normal: 1,
                 urgent: 0,
             };
-            if self.next_urgent(any).is_some() {
+            if self.next_urgent(one_normal).is_some() {
                 return self.urgent_backlog.first().map(|(_, t)| t);
             }
         }
         let (finish, tenant) = self.backlog.first()?;
-        let within = *finish < self.virtual_now && !self.is_over(tenant);
-        within.then_some(tenant)
+        let under_share = *finish < self.virtual_time && !self.is_over_share(tenant);
+        under_share.then_some(tenant)
     }
 
-    /// Whether the tenant has used what it left unused and runs more than its share.
-    fn is_over(&self, tenant: &TenantId) -> bool {
+    /// Returns whether the tenant has spent its burst and runs more than its fair share.
+    fn is_over_share(&self, tenant: &TenantId) -> bool {
         self.tenants.get(tenant).is_some_and(|account| {
             let share = self.running.len() as u64 * u64::from(account.weight);
-            account.finish >= self.virtual_now
+            account.finish >= self.virtual_time
                 && u64::from(account.running) * self.active_weight > share
         })
     }
 
-    /// Puts a cancelled draft back into the queue, to go on after `used` tokens.
+    /// Puts a preempted request back into the queue, to be resumed after `used` tokens.
     ///
-    /// It keeps its deadline and is not subject to the bounds of the queue, since it was
-    /// admitted before. `None` when the ticket isn't running.
+    /// It keeps its deadline and is exempt from the queue limits, since it was
+    /// admitted before. Returns `None` if the ticket isn't running.
     pub fn requeue(&mut self, ticket: Ticket, used: Tokens, payload: T) -> Option<Ticket> {
-        let run = self.end(ticket)?;
-        self.correct(&run, used);
+        let run = self.remove_running(ticket)?;
+        self.correct_charge(&run, used);
         let queued = Queued {
             tokens: run.tokens.saturating_sub(used).max(1),
-            give_up_at: run.give_up_at,
-            resumed: true,
+            start_deadline: run.start_deadline,
+            requeued: true,
             payload,
         };
         let weight = run.weight;
