--- a/crates/route/src/quota/holder.rs
+++ b/crates/route/src/quota/holder.rs
@@ -1,4 +1,4 @@
-//! The entry's side of a quota.
+//! The entry's side of the quota protocol.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -8,14 +8,14 @@
 use crate::queue::Slots;
 use crate::quota::{QuotaDemand, QuotaGrant, fallback_share};
 
-/// Demands whose answers are still awaited; an older answer is of no use.
-const MAX_AWAITED: usize = 16;
+/// Maximum number of pending demands; answers to older ones are ignored.
+const MAX_PENDING: usize = 16;
 
 #[derive(Debug)]
 struct Held {
     seq: u64,
     slots: Slots,
-    until: Instant,
+    valid_until: Instant,
 }
 
 /// One entry's quota at one epoch of one group.
@@ -26,16 +26,16 @@
     group: GroupId,
     epoch: Epoch,
     issuer: Option<NodeId>,
-    /// What it falls back to.
-    part: Slots,
+    /// Slots used without a valid grant.
+    fallback: Slots,
     last_seq: u64,
     /// Invariant: seq and send time of demands to `issuer`, oldest first.
-    awaited: VecDeque<(u64, Instant)>,
+    pending: VecDeque<(u64, Instant)>,
     held: Option<Held>,
 }
 
 impl QuotaHolder {
-    /// A holder without a grant, of a group with `slots` shared by `entries`.
+    /// Creates a holder without a grant, for a group with `slots` shared by `entries`.
     pub fn new(
         entry: NodeId,
         incarnation: Incarnation,
@@ -50,37 +50,37 @@
             group,
             epoch,
             issuer: None,
-            part: fallback_share(slots, entries),
+            fallback: fallback_share(slots, entries),
             last_seq: 0,
-            awaited: VecDeque::new(),
+            pending: VecDeque::new(),
             held: None,
         }
     }
 
-    /// Takes note of a change of the group's slots or the number of entries.
+    /// Updates the group's slots and the number of entries that share them.
     pub fn set_capacity(&mut self, slots: Slots, entries: u32) {
-        self.part = fallback_share(slots, entries);
+        self.fallback = fallback_share(slots, entries);
     }
 
-    /// Names the issuer to ask.
+    /// Sets the issuer that demands are sent to.
     ///
-    /// A grant of the former one is given up at once: holding grants of two
-    /// issuers would use slots that one of them has given to others.
+    /// A grant of the previous issuer is dropped immediately: holding grants of two
+    /// issuers would use slots that one of them has granted to other entries.
     pub fn set_issuer(&mut self, issuer: &NodeId) {
         if self.issuer.as_ref() != Some(issuer) {
             self.issuer = Some(issuer.clone());
-            self.awaited.clear();
+            self.pending.clear();
             self.held = None;
         }
     }
 
-    /// Makes the next demand; `now` is just before it is sent.
+    /// Creates the next demand; `now` must not be later than the time it is sent.
     pub fn next_demand(&mut self, running: Slots, waiting: Slots, now: Instant) -> QuotaDemand {
         self.last_seq += 1;
-        if self.awaited.len() == MAX_AWAITED {
-            self.awaited.pop_front();
+        if self.pending.len() == MAX_PENDING {
+            self.pending.pop_front();
         }
-        self.awaited.push_back((self.last_seq, now));
+        self.pending.push_back((self.last_seq, now));
         QuotaDemand {
             entry: self.entry.clone(),
             incarnation: self.incarnation,
@@ -93,40 +93,41 @@
         }
     }
 
-    /// Takes a grant, unless it is another's, doubled, or older than the one held.
+    /// Accepts a grant and returns true, unless it is for another holder, a duplicate, or
+    /// older than the one held.
     pub fn on_grant(&mut self, grant: &QuotaGrant) -> bool {
-        let ours = grant.entry == self.entry
+        let is_own = grant.entry == self.entry
             && grant.incarnation == self.incarnation
             && grant.group == self.group
             && grant.epoch == self.epoch
             && Some(&grant.issuer) == self.issuer.as_ref();
-        let Some(sent) = self.take_awaited(grant.seq).filter(|_| ours) else {
+        let Some(sent) = self.take_pending(grant.seq).filter(|_| is_own) else {
             return false;
         };
         self.held = Some(Held {
             seq: grant.seq,
             slots: grant.slots,
-            until: sent + grant.term,
+            valid_until: sent + grant.term,
         });
         true
     }
 
-    /// Send time of an awaited demand; it and all older ones are awaited no more.
-    fn take_awaited(&mut self, seq: u64) -> Option<Instant> {
-        let at = self.awaited.iter().position(|(s, _)| *s == seq)?;
-        self.awaited.drain(..=at).next_back().map(|(_, sent)| sent)
+    /// Removes a pending demand and all older ones, and returns its send time.
+    fn take_pending(&mut self, seq: u64) -> Option<Instant> {
+        let at = self.pending.iter().position(|(s, _)| *s == seq)?;
+        self.pending.drain(..=at).next_back().map(|(_, sent)| sent)
     }
 
-    /// What the entry may have running now.
+    /// Returns the slots the entry may occupy now.
     pub fn quota(&self, now: Instant) -> Slots {
         match &self.held {
-            Some(held) if now < held.until => held.slots,
-            _ => self.part,
+            Some(held) if now < held.valid_until => held.slots,
+            _ => self.fallback,
         }
     }
 
-    /// Whether a grant is in force.
+    /// Returns whether a grant is valid now.
     pub fn has_grant(&self, now: Instant) -> bool {
-        self.held.as_ref().is_some_and(|h| now < h.until)
+        self.held.as_ref().is_some_and(|h| now < h.valid_until)
     }
 }
--- a/crates/route/src/quota/issuer.rs
+++ b/crates/route/src/quota/issuer.rs
@@ -1,4 +1,4 @@
-//! The watcher's side of quotas.
+//! The issuer's side of the quota protocol.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -13,23 +13,23 @@
 struct Outstanding {
     seq: u64,
     slots: Slots,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Debug)]
-struct Asker {
-    heard: Instant,
+struct EntryState {
+    last_demand: Instant,
     last_seq: u64,
     running: Slots,
     waiting: Slots,
-    /// Grants that the entry may be using.
+    /// Unexpired grants, any of which the entry may be using.
     outstanding: SmallVec<[Outstanding; 4]>,
 }
 
-impl Asker {
-    fn new(now: Instant) -> Asker {
-        Asker {
-            heard: now,
+impl EntryState {
+    fn new(now: Instant) -> EntryState {
+        EntryState {
+            last_demand: now,
             last_seq: 0,
             running: Slots::NONE,
             waiting: Slots::NONE,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// What the entry may have running at most, whichever answers it got.
+    /// Returns the most the entry may have running, whichever grants it received.
     fn committed(&self) -> Slots {
         let mut most = self.running;
         for grant in &self.outstanding {
@@ -47,8 +47,8 @@
         most
     }
 
-    /// What it could use. One urgent slot even when idle: an urgent request
-    /// must not wait for a round trip to the issuer.
+    /// Returns the slots it could use. At least one urgent slot even if idle: an urgent
+    /// request must not wait for a round trip to the issuer.
     fn demand(&self) -> Slots {
         Slots {
             normal: self.running.normal + self.waiting.normal,
@@ -59,9 +59,9 @@
 
 /// Shares the slots of one epoch of one group among the entries.
 ///
-/// Invariant: per kind, the committed slots of all entries, and the parts held
-/// back, exceed the group's slots only where an entry runs more than it was
-/// granted; no grant adds to that.
+/// Invariant: per kind, the committed slots of all entries and the reserved shares
+/// together exceed the group's slots only if an entry runs more than it was granted;
+/// no grant adds to that.
 #[derive(Debug)]
 pub struct QuotaIssuer {
     issuer: NodeId,
@@ -71,14 +71,14 @@
     /// Entries that may send to the group.
     entries: Vec<NodeId>,
     started: Instant,
-    askers: BTreeMap<(NodeId, Incarnation), Asker>,
+    states: BTreeMap<(NodeId, Incarnation), EntryState>,
 }
 
 impl QuotaIssuer {
-    /// An issuer that begins at `now`.
+    /// Creates an issuer that starts at `now`.
     ///
-    /// It grants nothing during the first term and margin, in which grants of a
-    /// former issuer may still be in use.
+    /// It grants nothing during the first term and margin, while grants of a
+    /// previous issuer may still be in use.
     pub fn new(
         issuer: NodeId,
         group: GroupId,
@@ -94,43 +94,43 @@
             slots,
             entries: entries.into_iter().collect(),
             started: now,
-            askers: BTreeMap::new(),
+            states: BTreeMap::new(),
         }
     }
 
-    /// Changes the slots to share, from the text or from what the group measures.
+    /// Sets the slots to share, as configured or as measured on the group.
     pub fn set_slots(&mut self, slots: Slots) {
         self.slots = slots;
     }
 
-    /// Changes the entries that may send to the group.
+    /// Sets the entries that may send to the group.
     pub fn set_entries(&mut self, entries: impl IntoIterator<Item = NodeId>) {
         self.entries = entries.into_iter().collect();
     }
 
-    /// Answers a demand; nothing for one that is late, doubled or for another epoch.
+    /// Answers a demand; returns `None` if it is late, a duplicate or for another epoch.
     pub fn on_demand(&mut self, demand: &QuotaDemand, now: Instant) -> Option<QuotaGrant> {
         if demand.group != self.group || demand.epoch != self.epoch {
             return None;
         }
-        self.drop_lapsed(now);
+        self.remove_expired(now);
         let key = (demand.entry.clone(), demand.incarnation);
-        let asker = self
-            .askers
+        let state = self
+            .states
             .entry(key.clone())
-            .or_insert_with(|| Asker::new(now));
-        if demand.seq <= asker.last_seq {
+            .or_insert_with(|| EntryState::new(now));
+        if demand.seq <= state.last_seq {
             return None;
         }
-        asker.heard = now;
-        asker.last_seq = demand.seq;
-        asker.running = demand.running;
-        asker.waiting = demand.waiting;
-        asker.outstanding.retain(|g| g.seq >= demand.held_seq);
+        state.last_demand = now;
+        state.last_seq = demand.seq;
+        state.running = demand.running;
+        state.waiting = demand.waiting;
+        state.outstanding.retain(|g| g.seq >= demand.held_seq);
         if now.saturating_duration_since(self.started) < QUOTA_TERM + QUOTA_CLOCK_MARGIN {
             return None;
         }
-        let slots = self.decide(&key, now);
+        let slots = self.allocate(&key, now);
         Some(self.grant(demand, &key, slots, now))
     }
 
@@ -141,11 +141,11 @@
         slots: Slots,
         now: Instant,
     ) -> QuotaGrant {
-        if let Some(asker) = self.askers.get_mut(key) {
-            asker.outstanding.push(Outstanding {
+        if let Some(state) = self.states.get_mut(key) {
+            state.outstanding.push(Outstanding {
                 seq: demand.seq,
                 slots,
-                until: now + QUOTA_TERM + QUOTA_CLOCK_MARGIN,
+                expires_at: now + QUOTA_TERM + QUOTA_CLOCK_MARGIN,
             });
         }
         QuotaGrant {
@@ -160,56 +160,60 @@
         }
     }
 
-    fn drop_lapsed(&mut self, now: Instant) {
-        let silent = |heard: Instant| {
-            now.saturating_duration_since(heard) >= QUOTA_TERM + QUOTA_CLOCK_MARGIN
+    fn remove_expired(&mut self, now: Instant) {
+        let silent = |last_demand: Instant| {
+            now.saturating_duration_since(last_demand) >= QUOTA_TERM + QUOTA_CLOCK_MARGIN
         };
-        for asker in self.askers.values_mut() {
-            asker.outstanding.retain(|g| now < g.until);
+        for state in self.states.values_mut() {
+            state.outstanding.retain(|g| now < g.expires_at);
         }
-        self.askers
-            .retain(|_, a| !silent(a.heard) || !a.outstanding.is_empty());
+        self.states
+            .retain(|_, a| !silent(a.last_demand) || !a.outstanding.is_empty());
     }
 
-    /// The asker's fair share, cut to what others don't hold.
-    fn decide(&self, key: &(NodeId, Incarnation), now: Instant) -> Slots {
-        let held_back = self.held_back(now);
-        let decide_kind = |total: u32, back: u32, kind: fn(Slots) -> u32| {
-            let pool = total.saturating_sub(back);
+    /// Returns the entry's fair share, capped by what is not committed to others.
+    fn allocate(&self, key: &(NodeId, Incarnation), now: Instant) -> Slots {
+        let reserved = self.reserved(now);
+        let allocate_kind = |total: u32, reserved: u32, kind: fn(Slots) -> u32| {
+            let pool = total.saturating_sub(reserved);
             let demands: SmallVec<[u32; 16]> =
-                self.askers.values().map(|a| kind(a.demand())).collect();
-            let at = self.askers.keys().position(|k| k == key).unwrap_or(0);
-            let fair = fair_shares(pool, &demands).get(at).copied().unwrap_or(0);
-            let others = self.askers.iter().filter(|(k, _)| *k != key);
+                self.states.values().map(|a| kind(a.demand())).collect();
+            let index = self.states.keys().position(|k| k == key).unwrap_or(0);
+            let fair = fair_shares(pool, &demands).get(index).copied().unwrap_or(0);
+            let others = self.states.iter().filter(|(k, _)| *k != key);
             let committed: u32 = others.map(|(_, a)| kind(a.committed())).sum();
             fair.min(pool.saturating_sub(committed))
         };
         Slots {
-            normal: decide_kind(self.slots.normal, held_back.normal, |s| s.normal),
-            urgent: decide_kind(self.slots.urgent, held_back.urgent, |s| s.urgent),
+            normal: allocate_kind(self.slots.normal, reserved.normal, |s| s.normal),
+            urgent: allocate_kind(self.slots.urgent, reserved.urgent, |s| s.urgent),
         }
     }
 
-    /// Parts of the listed entries that hold no grant, or will soon hold none, and then
-    /// use their fallback.
-    fn held_back(&self, now: Instant) -> Slots {
-        let part = fallback_share(self.slots, self.entries.len() as u32);
-        let term = QUOTA_TERM / 2;
-        let fresh = |a: &Asker| now.saturating_duration_since(a.heard) < term;
-        let heard = |entry: &NodeId| {
+    /// Returns the slots reserved for listed entries whose grant has expired or will expire
+    /// soon, and which then use their fallback share.
+    fn reserved(&self, now: Instant) -> Slots {
+        let share = fallback_share(self.slots, self.entries.len() as u32);
+        let max_age = QUOTA_TERM / 2;
+        let fresh = |a: &EntryState| now.saturating_duration_since(a.last_demand) < max_age;
+        let has_recent_demand = |entry: &NodeId| {
             let first = (entry.clone(), Incarnation::MIN);
             let last = (entry.clone(), Incarnation::MAX);
-            self.askers.range(first..=last).any(|(_, a)| fresh(a))
+            self.states.range(first..=last).any(|(_, a)| fresh(a))
         };
-        let silent = self.entries.iter().filter(|e| !heard(e)).count() as u32;
+        let silent = self
+            .entries
+            .iter()
+            .filter(|e| !has_recent_demand(e))
+            .count() as u32;
         Slots {
-            normal: part.normal * silent,
-            urgent: part.urgent * silent,
+            normal: share.normal * silent,
+            urgent: share.urgent * silent,
         }
     }
 }
 
-/// Max-min fair shares of `pool`; what nobody wants is spread evenly as headroom.
+/// Returns max-min fair shares of `pool`; the excess over all demands is spread evenly.
 fn fair_shares(pool: u32, demands: &[u32]) -> SmallVec<[u32; 16]> {
     let mut shares: SmallVec<[u32; 16]> = SmallVec::from_elem(0, demands.len());
     let mut order: SmallVec<[usize; 16]> = (0..demands.len()).collect();
