--- a/crates/route/src/addresses.rs
+++ b/crates/route/src/addresses.rs
@@ -1,4 +1,4 @@
-//! Which entries a caller is told to use.
+//! Selection of the entry addresses returned to a caller.
 
 use std::time::Duration;
 
@@ -6,46 +6,46 @@
 use smallvec::SmallVec;
 use smol_str::SmolStr;
 
-/// Addresses in one answer.
-const ADDRESSES: usize = 3;
-/// How long a caller keeps an answer, before jitter.
-const KEEP: Duration = Duration::from_secs(60);
-/// The same while entries leave or are full, so that callers move off them soon.
-const KEEP_SHORT: Duration = Duration::from_secs(15);
-/// The kept time varies by this part to either side.
-const KEEP_JITTER: f64 = 0.25;
+/// Maximum number of addresses in one list.
+const MAX_ADDRESSES: usize = 3;
+/// TTL of an address list, before jitter.
+const TTL: Duration = Duration::from_secs(60);
+/// TTL while any entry is leaving or full, so that its callers move away sooner.
+const SHORT_TTL: Duration = Duration::from_secs(15);
+/// The TTL varies by this fraction in both directions.
+const TTL_JITTER: f64 = 0.25;
 
-/// Load over capacity at which an entry calls itself busy, and no longer so.
-const BUSY: (f64, f64) = (0.85, 0.7);
-/// The same for full.
+/// Load relative to capacity at which the high level is entered, and left.
+const HIGH: (f64, f64) = (0.85, 0.7);
+/// The same for the full level.
 const FULL: (f64, f64) = (1.0, 0.9);
 
 value! { copy
-    /// How loaded an entry calls itself.
+    /// The load level of an entry.
     #[derive(Default)]
     pub enum LoadLevel {
-        /// Room for more.
+        /// Spare capacity.
         #[default]
         Low,
-        /// Little room: others of the same failure domain come first.
+        /// Little capacity left: others in the same failure domain are preferred.
         High,
-        /// No room: it refuses, and names others.
+        /// No capacity left: the entry refuses callers and returns other addresses.
         Full,
     }
 }
 
 impl LoadLevel {
-    /// The band for a load (1 is capacity), given the present one.
+    /// Returns the level for a load (1 is capacity), given the current level.
     ///
-    /// Bands are left at a lower load than they are entered at; with one
-    /// threshold, callers' address lists would change at every report.
+    /// A level is left at a lower load than it is entered at; with a single
+    /// threshold, callers' address lists could change at every load report.
     pub fn next(self, load: f64) -> LoadLevel {
-        let over =
+        let is_over =
             |(enter, leave): (f64, f64), inside: bool| load >= if inside { leave } else { enter };
-        if over(FULL, self == LoadLevel::Full) {
+        if is_over(FULL, self == LoadLevel::Full) {
             return LoadLevel::Full;
         }
-        match over(BUSY, self >= LoadLevel::High) {
+        match is_over(HIGH, self >= LoadLevel::High) {
             true => LoadLevel::High,
             false => LoadLevel::Low,
         }
@@ -53,7 +53,7 @@
 }
 
 value! {
-    /// One entry as another sees it.
+    /// An entry as seen by the entry that returns the list.
     pub struct EntryView {
         /// The node.
         pub node: NodeId,
@@ -61,21 +61,21 @@
         pub address: SmolStr,
         /// Its failure domain.
         pub failure_domain: FailureDomain,
-        /// In the answering entry's region.
+        /// Whether it is in the region of the entry that returns the list.
         pub same_region: bool,
-        /// How loaded it calls itself.
+        /// Its reported load level.
         pub load: LoadLevel,
-        /// It is leaving.
+        /// Whether it is leaving.
         pub leaving: bool,
-        /// It has been heard of lately.
+        /// Whether it has been seen recently.
         pub alive: bool,
     }
 
-    /// What a caller is told.
+    /// The addresses returned to a caller.
     pub struct AddressList {
-        /// Addresses, the one to use first at the front.
-        pub addresses: SmallVec<[SmolStr; ADDRESSES]>,
-        /// How long to keep them, different for each answer.
+        /// Addresses in order of preference.
+        pub addresses: SmallVec<[SmolStr; MAX_ADDRESSES]>,
+        /// How long the caller may keep the list, with jitter.
         pub ttl: Duration,
     }
 }
@@ -83,10 +83,10 @@
 /// Chooses the entries for a caller.
 ///
 /// The order is the same for the same caller and entries: rendezvous hashing
-/// spreads callers evenly and moves only those of an entry that goes. The last
-/// address is in another failure domain where there is one. Entries that leave
-/// are named only when there is nothing else; `except` is never named (an entry
-/// that is full names others).
+/// spreads callers evenly and moves only those of an entry that is removed. The last
+/// address is in another failure domain if there is one. Leaving entries are
+/// returned only if there is no other; `except` is never returned (an entry that
+/// is full excludes itself).
 pub fn choose_addresses(
     caller: &str,
     caller_domain: &str,
@@ -108,41 +108,41 @@
     });
     let usable = order.iter().filter(|e| e.alive && !e.leaving).count();
     order.truncate(usable.max(1));
-    let moving = entries
+    let short_ttl = entries
         .iter()
         .any(|e| e.leaving || e.load == LoadLevel::Full);
     AddressList {
-        addresses: spread(&order),
-        ttl: jittered_ttl(moving, rng),
+        addresses: spread_domains(&order),
+        ttl: jittered_ttl(short_ttl, rng),
     }
 }
 
-/// Lower is better. A full entry far down, a distant one before it.
+/// Sort key of an entry, lower is better. A distant entry is preferred to a full one.
 fn rank(entry: &EntryView, caller_domain: &str) -> (bool, bool, bool, u8, LoadLevel) {
-    let hops = match (entry.failure_domain == caller_domain, entry.same_region) {
+    let distance = match (entry.failure_domain == caller_domain, entry.same_region) {
         (true, _) => 0,
         (false, true) => 1,
         (false, false) => 2,
     };
     let full = entry.load == LoadLevel::Full;
-    (!entry.alive, entry.leaving, full, hops, entry.load)
+    (!entry.alive, entry.leaving, full, distance, entry.load)
 }
 
-fn spread(order: &[&EntryView]) -> SmallVec<[SmolStr; ADDRESSES]> {
-    let mut chosen: SmallVec<[&EntryView; ADDRESSES]> =
-        order.iter().take(ADDRESSES).copied().collect();
+fn spread_domains(order: &[&EntryView]) -> SmallVec<[SmolStr; MAX_ADDRESSES]> {
+    let mut chosen: SmallVec<[&EntryView; MAX_ADDRESSES]> =
+        order.iter().take(MAX_ADDRESSES).copied().collect();
     let one_domain = chosen
         .windows(2)
         .all(|w| w[0].failure_domain == w[1].failure_domain);
     let first = chosen.first().map(|e| &e.failure_domain);
-    let elsewhere = order.iter().find(|e| Some(&e.failure_domain) != first);
-    if let (true, Some(other), ADDRESSES) = (one_domain, elsewhere, chosen.len()) {
-        chosen[ADDRESSES - 1] = other;
+    let other_domain = order.iter().find(|e| Some(&e.failure_domain) != first);
+    if let (true, Some(other), MAX_ADDRESSES) = (one_domain, other_domain, chosen.len()) {
+        chosen[MAX_ADDRESSES - 1] = other;
     }
     chosen.iter().map(|e| e.address.clone()).collect()
 }
 
-fn jittered_ttl(moving: bool, rng: &mut fastrand::Rng) -> Duration {
-    let keep = if moving { KEEP_SHORT } else { KEEP };
-    keep.mul_f64(1.0 - KEEP_JITTER + 2.0 * KEEP_JITTER * rng.f64())
+fn jittered_ttl(short: bool, rng: &mut fastrand::Rng) -> Duration {
+    let ttl = if short { SHORT_TTL } else { TTL };
+    ttl.mul_f64(1.0 - TTL_JITTER + 2.0 * TTL_JITTER * rng.f64())
 }
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,49 +1,49 @@
-//! Retries: when, how many, and how long to wait before.
+//! Retry policy: eligibility, the retry budget and backoff.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use eelgrassmill_base::{Outcome, TenantId, value};
 
-/// Attempts of one request, the first included.
+/// Maximum number of attempts of one request, including the first.
 pub const MAX_ATTEMPTS: u32 = 3;
 
-/// Budget that one retry costs; a request pays in a part of it.
+/// Balance withdrawn by one retry.
 const RETRY_COST: u64 = 1000;
-/// Part of a retry that each request pays in, in thousandths.
-const PAY_IN: u64 = 100;
-/// Retries that a quiet tenant can save up.
-const MAX_SAVED: u64 = 10 * RETRY_COST;
-/// The node's own account saves up this many times as much.
+/// Balance deposited by each request: a tenth of a retry.
+const DEPOSIT: u64 = 100;
+/// Maximum balance of a tenant: ten retries.
+const MAX_BALANCE: u64 = 10 * RETRY_COST;
+/// Maximum balance of the node, as a multiple of a tenant's.
 const NODE_FACTOR: u64 = 4;
 
 const FIRST_BACKOFF: Duration = Duration::from_millis(50);
 const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
 value! { copy
-    /// Why a request isn't tried again.
+    /// Why a request is not retried.
     #[derive(thiserror::Error)]
     pub enum RetryDenied {
-        /// It was answered.
-        #[error("it was answered")]
+        /// The request was answered.
+        #[error("the request was answered")]
         Answered,
-        /// It may have run, and must not run twice.
-        #[error("it may have run and must not run twice")]
+        /// The request may have run and must not run twice.
+        #[error("the request may have run and must not run twice")]
         NotRepeatable,
-        /// It was tried often enough.
-        #[error("it was tried {MAX_ATTEMPTS} times")]
+        /// The request has had [`MAX_ATTEMPTS`] attempts.
+        #[error("the request was tried {MAX_ATTEMPTS} times")]
         AttemptsExhausted,
-        /// The budget of its tenant or of the node is used up.
-        #[error("the retry budget is used up")]
+        /// The budget of the tenant or of the node is exhausted.
+        #[error("the retry budget is exhausted")]
         BudgetExhausted,
     }
 }
 
-/// The one budget of retries of a node: a tenth of its recent requests.
+/// A node's retry budget: a tenth of its recent requests.
 ///
-/// Each tenant has its own, below one of the node: a tenant whose requests all
-/// fail can't use up what the others may need, and all tenants failing at once
-/// can't double the load on groups that are failing for being overloaded.
+/// Each tenant has its own balance besides the node's: a tenant whose requests all
+/// fail can't exhaust what the others may need, and all tenants failing at once
+/// can't double the load on groups that fail because they are overloaded.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     node: u64,
@@ -53,49 +53,49 @@
 impl Default for RetryBudget {
     fn default() -> RetryBudget {
         RetryBudget {
-            node: MAX_SAVED * NODE_FACTOR,
+            node: MAX_BALANCE * NODE_FACTOR,
             tenants: BTreeMap::new(),
         }
     }
 }
 
 impl RetryBudget {
-    /// Pays in for a request that a caller made. Not for retries of it.
+    /// Deposits for a request from a caller. Not to be called for its retries.
     pub fn deposit(&mut self, tenant: &TenantId) {
-        self.node = (self.node + PAY_IN).min(MAX_SAVED * NODE_FACTOR);
+        self.node = (self.node + DEPOSIT).min(MAX_BALANCE * NODE_FACTOR);
         match self.tenants.get_mut(tenant) {
-            Some(saved) => *saved = (*saved + PAY_IN).min(MAX_SAVED),
+            Some(balance) => *balance = (*balance + DEPOSIT).min(MAX_BALANCE),
             None => {
-                self.tenants.insert(tenant.clone(), MAX_SAVED);
+                self.tenants.insert(tenant.clone(), MAX_BALANCE);
             }
         }
     }
 
-    /// Drops the accounts of tenants that are no longer configured.
+    /// Drops the balances of tenants that are no longer configured.
     pub fn retain(&mut self, configured: impl Fn(&TenantId) -> bool) {
         self.tenants.retain(|t, _| configured(t));
     }
 
     fn withdraw(&mut self, tenant: &TenantId) -> bool {
-        let Some(saved) = self.tenants.get_mut(tenant) else {
+        let Some(balance) = self.tenants.get_mut(tenant) else {
             return false;
         };
-        if *saved < RETRY_COST || self.node < RETRY_COST {
+        if *balance < RETRY_COST || self.node < RETRY_COST {
             return false;
         }
-        *saved -= RETRY_COST;
+        *balance -= RETRY_COST;
         self.node -= RETRY_COST;
         true
     }
 }
 
-/// Decides whether a request is tried again after `attempt` attempts, and pays for it.
+/// Decides whether a request is retried after `attempt` attempts, and withdraws from the budget.
 ///
-/// This is the only place that retries: a second layer above or below would
+/// This must be the only layer that retries: another one above or below it would
 /// multiply the attempts.
 ///
 /// # Errors
-/// Why not.
+/// The reason why the request is not retried.
 pub fn may_retry(
     outcome: Outcome,
     repeatable: bool,
@@ -117,7 +117,7 @@
     Ok(())
 }
 
-/// How long to wait before attempt `attempt + 1`: random up to a doubling bound.
+/// Returns the wait before attempt `attempt + 1`: exponential backoff with full jitter.
 pub fn backoff(attempt: u32, rng: &mut fastrand::Rng) -> Duration {
     let bound = FIRST_BACKOFF.saturating_mul(1 << attempt.saturating_sub(1).min(16));
     bound.min(MAX_BACKOFF).mul_f64(rng.f64())
