--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,7 +1,7 @@
-//! Request policy: admission, fair share, priorities, quotas, choice of group, retries and addresses.
+//! Request routing policy: admission, fair queueing, quotas, load balancing, retries and addresses.
 //!
-//! Everything here is pure: it takes events and an instant and returns what
-//! to do. Callers keep the clocks, locks and sockets.
+//! The crate does no I/O and reads no clock: it takes events with the current
+//! instant and returns actions. Callers own the clocks, locks and sockets.
 
 mod addresses;
 mod pick;
--- a/crates/route/src/pick/limit.rs
+++ b/crates/route/src/pick/limit.rs
@@ -1,44 +1,44 @@
-//! How much of its slots a group is given: what it measures decides.
+//! Adaptive concurrency limit: the fraction of its slots a group gets, from measured latency.
 
 use std::time::{Duration, Instant};
 
-/// Aim for the time to the first token, for 95 in 100.
+/// Latency objective for the 95th percentile of the time to first token.
 pub const TIME_TO_FIRST_TOKEN_SLO: Duration = Duration::from_millis(1300);
-/// Aim for the time between tokens, for 95 in 100.
+/// Latency objective for the 95th percentile of the inter-token latency.
 pub const INTER_TOKEN_LATENCY_SLO: Duration = Duration::from_millis(76);
 
-/// Samples that a decision needs.
-const WINDOW_SAMPLES: u32 = 20;
-/// Shortest time between decisions.
-const WINDOW: Duration = Duration::from_millis(500);
-/// Part of late samples above which the limit falls.
-const LATE_PART: f64 = 0.05;
-/// The limit falls to this part of itself.
-const FALL: f64 = 0.9;
-/// The limit rises by this part of the slots.
-const RISE: f64 = 0.03;
-/// The limit never falls below this part of the slots.
-const FLOOR: f64 = 0.05;
-/// A fall has helped when samples are shorter by this part after it.
-const MIN_GAIN: f64 = 0.025;
-/// Falls without help after which the limit is given up.
-const USELESS_FALLS: u32 = 2;
-/// The limit doesn't fall again for this long after that.
-const GIVEN_UP: Duration = Duration::from_secs(60);
+/// Minimum number of samples for an adjustment.
+const MIN_WINDOW_SAMPLES: u32 = 20;
+/// Minimum time between adjustments.
+const MIN_WINDOW: Duration = Duration::from_millis(500);
+/// The limit decreases if a larger fraction of the samples misses the objective.
+const MAX_LATE_FRACTION: f64 = 0.05;
+/// Factor of a decrease.
+const DECREASE_FACTOR: f64 = 0.9;
+/// Step of an increase, as a fraction of the slots.
+const INCREASE_STEP: f64 = 0.03;
+/// Lower bound of the limit, as a fraction of the slots.
+const MIN_FRACTION: f64 = 0.05;
+/// A decrease was effective if it reduced the mean latency by this fraction.
+const MIN_IMPROVEMENT: f64 = 0.025;
+/// Consecutive ineffective decreases after which the limit is lifted.
+const MAX_INEFFECTIVE_DECREASES: u32 = 2;
+/// After the limit was lifted, it doesn't decrease for this long.
+const LIFTED_TERM: Duration = Duration::from_secs(60);
 
-/// Additive increase, multiplicative decrease on the part of late samples.
+/// Additive increase, multiplicative decrease (AIMD) by the fraction of late samples.
 #[derive(Clone, Debug)]
 pub(crate) struct AdaptiveLimit {
-    /// Part of the slots that may be used. Invariant: within `FLOOR..=1`.
-    part: f64,
+    /// Fraction of the slots that may be used. Invariant: within `MIN_FRACTION..=1`.
+    fraction: f64,
     window: Window,
-    /// Mean sample over its aim just before the last fall.
-    fell_from: Option<f64>,
-    useless_falls: u32,
-    no_fall_before: Instant,
-    /// Whether the limit held work back since the last decision. An unused
-    /// limit must not rise: good figures without load say nothing about more.
-    was_full: bool,
+    /// Mean SLO ratio just before the last decrease.
+    mean_before_decrease: Option<f64>,
+    ineffective_decreases: u32,
+    no_decrease_before: Instant,
+    /// Whether the limit was reached since the last adjustment. A limit that wasn't
+    /// reached must not increase: good latency at low load says nothing about high load.
+    saturated: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -46,7 +46,7 @@
     since: Instant,
     samples: u32,
     late: u32,
-    /// Sum of the samples over their aims.
+    /// Sum of the SLO ratios.
     sum: f64,
 }
 
@@ -64,80 +64,85 @@
 impl AdaptiveLimit {
     pub(crate) fn new(now: Instant) -> AdaptiveLimit {
         AdaptiveLimit {
-            part: 1.0,
+            fraction: 1.0,
             window: Window::new(now),
-            fell_from: None,
-            useless_falls: 0,
-            no_fall_before: now,
-            was_full: false,
+            mean_before_decrease: None,
+            ineffective_decreases: 0,
+            no_decrease_before: now,
+            saturated: false,
         }
     }
 
-    pub(crate) fn part(&self) -> f64 {
-        self.part
+    pub(crate) fn fraction(&self) -> f64 {
+        self.fraction
     }
 
-    pub(crate) fn note_full(&mut self) {
-        self.was_full = true;
+    pub(crate) fn mark_saturated(&mut self) {
+        self.saturated = true;
     }
 
-    /// Takes a sample over its aim.
+    /// Records a sample as the ratio of the latency to its objective.
     ///
-    /// `above` says that more runs than the limit allows, since requests from before
-    /// the last fall go on. Those samples say nothing about the new limit;
-    /// judged by them, it would fall to the floor before the first draft has ended.
-    pub(crate) fn observe(&mut self, over_aim: f64, above: bool, now: Instant) {
-        if above {
+    /// `over_limit` means that more requests run than the limit allows, since those
+    /// started before the last decrease continue. Such samples don't measure the new
+    /// limit; with them it would decrease to the minimum before the first of those
+    /// requests has ended.
+    pub(crate) fn observe(&mut self, slo_ratio: f64, over_limit: bool, now: Instant) {
+        if over_limit {
             self.window = Window::new(now);
             return;
         }
         self.window.samples += 1;
-        self.window.late += u32::from(over_aim > 1.0);
-        self.window.sum += over_aim;
-        let waited = now.saturating_duration_since(self.window.since) >= WINDOW;
-        if waited && self.window.samples >= WINDOW_SAMPLES {
-            self.decide(now);
+        self.window.late += u32::from(slo_ratio > 1.0);
+        self.window.sum += slo_ratio;
+        let elapsed = now.saturating_duration_since(self.window.since) >= MIN_WINDOW;
+        if elapsed && self.window.samples >= MIN_WINDOW_SAMPLES {
+            self.adjust(now);
         }
     }
 
-    fn decide(&mut self, now: Instant) {
+    fn adjust(&mut self, now: Instant) {
         let samples = f64::from(self.window.samples);
-        let late = f64::from(self.window.late) / samples;
+        let late_fraction = f64::from(self.window.late) / samples;
         let mean = self.window.sum / samples;
-        if late <= LATE_PART {
-            self.rise();
-        } else if now >= self.no_fall_before {
-            self.fall(mean, now);
+        if late_fraction <= MAX_LATE_FRACTION {
+            self.increase();
+        } else if now >= self.no_decrease_before {
+            self.decrease(mean, now);
         }
         self.window = Window::new(now);
-        self.was_full = false;
+        self.saturated = false;
     }
 
-    fn rise(&mut self) {
-        self.fell_from = None;
-        self.useless_falls = 0;
-        if self.was_full {
-            self.part = (self.part + RISE).min(1.0);
+    fn increase(&mut self) {
+        self.mean_before_decrease = None;
+        self.ineffective_decreases = 0;
+        if self.saturated {
+            self.fraction = (self.fraction + INCREASE_STEP).min(1.0);
         }
     }
 
-    /// Falls, or gives the limit up where falling makes nothing faster.
+    /// Decreases the limit, or lifts it if decreases don't reduce the latency.
     ///
-    /// A model whose tokens take longer than the aim with a single request would
-    /// otherwise be driven to a single request.
-    fn fall(&mut self, mean: f64, now: Instant) {
-        let helped = self
-            .fell_from
-            .is_none_or(|from| mean < from * (1.0 - MIN_GAIN));
-        self.useless_falls = if helped { 0 } else { self.useless_falls + 1 };
-        if self.useless_falls >= USELESS_FALLS {
-            self.part = 1.0;
-            self.fell_from = None;
-            self.useless_falls = 0;
-            self.no_fall_before = now + GIVEN_UP;
+    /// Otherwise a model that misses the objective even with a single request would
+    /// be limited to a single request.
+    fn decrease(&mut self, mean: f64, now: Instant) {
+        let effective = self
+            .mean_before_decrease
+            .is_none_or(|before| mean < before * (1.0 - MIN_IMPROVEMENT));
+        self.ineffective_decreases = if effective {
+            0
+        } else {
+            self.ineffective_decreases + 1
+        };
+        if self.ineffective_decreases >= MAX_INEFFECTIVE_DECREASES {
+            self.fraction = 1.0;
+            self.mean_before_decrease = None;
+            self.ineffective_decreases = 0;
+            self.no_decrease_before = now + LIFTED_TERM;
             return;
         }
-        self.fell_from = Some(mean);
-        self.part = (self.part * FALL).max(FLOOR);
+        self.mean_before_decrease = Some(mean);
+        self.fraction = (self.fraction * DECREASE_FACTOR).max(MIN_FRACTION);
     }
 }
--- a/crates/route/src/pick/prefix.rs
+++ b/crates/route/src/pick/prefix.rs
@@ -1,7 +1,7 @@
-//! Which prompt prefixes are likely in which group's cache.
+//! Index of the prompt prefixes that each group is expected to have cached.
 //!
-//! The record starts from what this entry sent and is corrected by the
-//! engines' cache events, which come late and with gaps.
+//! Entries are added for the requests sent by this entry and corrected by the
+//! engines' cache events, which arrive late and with gaps.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -9,107 +9,107 @@
 use eelgrassmill_base::{stable_hash, value};
 use smallvec::SmallVec;
 
-/// Hash of a prompt's beginning.
+/// Hash of a prompt prefix.
 pub type PrefixHash = u64;
-/// Hashes of one prompt's beginnings, the shortest first.
+/// Hashes of the prefixes of one prompt, the shortest first.
 pub type PrefixHashes = SmallVec<[PrefixHash; 8]>;
 
-/// Length of the shortest prefix that is worth a match, in bytes.
-const FIRST_PREFIX: usize = 256;
+/// Length of the shortest indexed prefix, in bytes.
+const MIN_PREFIX_BYTES: usize = 256;
 
-/// Hashes the beginnings of `prompt` at 256 bytes, 512, 1024 and so on.
+/// Hashes the prefixes of `prompt` of 256 bytes, 512, 1024 and so on.
 ///
-/// Doubling lengths keep the number of hashes small for long prompts; the
-/// remainder beyond the last doubling is rarely shared.
+/// Doubling the length keeps the number of hashes small for long prompts; the
+/// rest of a prompt beyond the last doubling is rarely shared.
 pub fn prefix_hashes(prompt: &str) -> PrefixHashes {
     let mut hashes = PrefixHashes::new();
-    let mut chain = String::new();
-    let (mut from, mut to) = (0, FIRST_PREFIX);
+    let mut previous = String::new();
+    let (mut from, mut to) = (0, MIN_PREFIX_BYTES);
     while to <= prompt.len() {
         let end = prompt.floor_char_boundary(to);
-        let hash = stable_hash([chain.as_str(), &prompt[from..end]]);
+        let hash = stable_hash([previous.as_str(), &prompt[from..end]]);
         hashes.push(hash);
-        chain = hash.to_string();
+        previous = hash.to_string();
         (from, to) = (end, to * 2);
     }
     hashes
 }
 
 value! { copy
-    /// What an engine says of one prefix.
+    /// A change of an engine's prefix cache.
     pub enum CacheEvent {
-        /// It is in the cache.
+        /// The prefix was stored.
         Stored(PrefixHash),
-        /// It has left the cache.
+        /// The prefix was evicted.
         Evicted(PrefixHash),
     }
 }
 
-/// Stands for one epoch of one group; a new epoch starts with an empty cache.
-pub(crate) type Holder = u32;
+/// Identifies the cache of one group epoch; a new epoch starts with an empty cache.
+pub(crate) type CacheId = u32;
 
 #[derive(Clone, Copy, Debug)]
-struct Mark {
+struct IndexEntry {
     at: Instant,
     used: u64,
 }
 
-/// Bounded record of (prefix, group), the least recently used dropped first.
+/// Bounded LRU index of (prefix, cache) pairs.
 #[derive(Debug)]
-pub(crate) struct PrefixRecord {
-    marks: BTreeMap<(PrefixHash, Holder), Mark>,
-    /// Invariant: the keys of `marks` by their `used`.
-    by_use: BTreeSet<(u64, PrefixHash, Holder)>,
-    max: usize,
-    uses: u64,
+pub(crate) struct PrefixIndex {
+    entries: BTreeMap<(PrefixHash, CacheId), IndexEntry>,
+    /// Invariant: the keys of `entries` by their `used`.
+    by_last_use: BTreeSet<(u64, PrefixHash, CacheId)>,
+    max_entries: usize,
+    use_count: u64,
 }
 
-impl PrefixRecord {
-    pub(crate) fn new(max: usize) -> PrefixRecord {
-        PrefixRecord {
-            marks: BTreeMap::new(),
-            by_use: BTreeSet::new(),
-            max,
-            uses: 0,
+impl PrefixIndex {
+    pub(crate) fn new(max_entries: usize) -> PrefixIndex {
+        PrefixIndex {
+            entries: BTreeMap::new(),
+            by_last_use: BTreeSet::new(),
+            max_entries,
+            use_count: 0,
         }
     }
 
-    /// Notes that the prefix was sent to the holder, or confirmed by it.
-    pub(crate) fn note(&mut self, hash: PrefixHash, holder: Holder, at: Instant) {
-        self.uses += 1;
-        let mark = Mark {
+    /// Records that the prefix was sent to the group, or stored according to an event.
+    pub(crate) fn insert(&mut self, hash: PrefixHash, cache_id: CacheId, at: Instant) {
+        self.use_count += 1;
+        let entry = IndexEntry {
             at,
-            used: self.uses,
+            used: self.use_count,
         };
-        if let Some(old) = self.marks.insert((hash, holder), mark) {
-            self.by_use.remove(&(old.used, hash, holder));
+        if let Some(old) = self.entries.insert((hash, cache_id), entry) {
+            self.by_last_use.remove(&(old.used, hash, cache_id));
         }
-        self.by_use.insert((mark.used, hash, holder));
-        if self.marks.len() > self.max
-            && let Some((_, hash, holder)) = self.by_use.pop_first()
+        self.by_last_use.insert((entry.used, hash, cache_id));
+        if self.entries.len() > self.max_entries
+            && let Some((_, hash, cache_id)) = self.by_last_use.pop_first()
         {
-            self.marks.remove(&(hash, holder));
+            self.entries.remove(&(hash, cache_id));
         }
     }
 
-    /// Drops a prefix, unless it was sent again after the event was taken.
+    /// Removes a prefix, unless it was sent again after the event was taken.
     ///
-    /// Events are late: an eviction from before our last request would
-    /// otherwise send the next one to a group whose cache is cold.
-    pub(crate) fn evict(&mut self, hash: PrefixHash, holder: Holder, taken_at: Instant) {
-        let Some(mark) = self.marks.get(&(hash, holder)).copied() else {
+    /// Events are late: without this check, an eviction from before the last request
+    /// would send the next one to a group whose cache is cold.
+    pub(crate) fn evict(&mut self, hash: PrefixHash, cache_id: CacheId, taken_at: Instant) {
+        let Some(entry) = self.entries.get(&(hash, cache_id)).copied() else {
             return;
         };
-        if mark.at < taken_at {
-            self.marks.remove(&(hash, holder));
-            self.by_use.remove(&(mark.used, hash, holder));
+        if entry.at < taken_at {
+            self.entries.remove(&(hash, cache_id));
+            self.by_last_use.remove(&(entry.used, hash, cache_id));
         }
     }
 
-    /// Who holds the prefix, and since when that is known.
-    pub(crate) fn holders(&self, hash: PrefixHash) -> impl Iterator<Item = (Holder, Instant)> {
-        self.marks
-            .range((hash, Holder::MIN)..=(hash, Holder::MAX))
-            .map(|((_, holder), mark)| (*holder, mark.at))
+    /// Returns the caches that have the prefix, with the time of the last confirmation.
+    pub(crate) fn cache_ids(&self, hash: PrefixHash) -> impl Iterator<Item = (CacheId, Instant)> {
+        self.entries
+            .range((hash, CacheId::MIN)..=(hash, CacheId::MAX))
+            .map(|((_, cache_id), entry)| (*cache_id, entry.at))
     }
 }
