--- a/crates/group/src/plan/baseline.rs
+++ b/crates/group/src/plan/baseline.rs
@@ -1,44 +1,44 @@
 //! Two plain ways to repair, which the policy is measured against.
 
-use crate::plan::form::keep;
-use crate::plan::group::Standing;
-use crate::plan::repair::{end, may_return, missing};
+use crate::plan::form::reserve_hosts;
+use crate::plan::group::GroupHealth;
+use crate::plan::repair::{end_damaged, may_recover, replacements_needed};
 use crate::plan::round::Round;
 use crate::plan::view::HostStatus;
 use crate::rows::EndReason;
 
 /// The baseline that waits: ends a group only when its member can't come back.
-pub(crate) fn wait_for_return(round: &mut Round<'_>, service: usize, index: usize) {
-    let group = &round.wanted[service].groups[index];
-    let hopeless = !may_return(group) && group.standing != Standing::Serving;
-    round.wanted[service].groups[index].mending = true;
-    if hopeless {
-        take_any(round, service, index);
+pub(crate) fn wait_for_return(round: &mut Round<'_>, service_index: usize, index: usize) {
+    let group = &round.services[service_index].groups[index];
+    let unrecoverable = !may_recover(group) && group.health != GroupHealth::Serving;
+    round.services[service_index].groups[index].recovering = true;
+    if unrecoverable {
+        replace_from_any_domain(round, service_index, index);
     }
 }
 
 /// The baseline that takes the first spare as soon as a member is missing.
-pub(crate) fn first_spare(round: &mut Round<'_>, service: usize, index: usize) {
-    let served = round.wanted[service].groups[index].standing == Standing::Serving;
-    round.wanted[service].groups[index].mending = true;
+pub(crate) fn first_spare(round: &mut Round<'_>, service_index: usize, index: usize) {
+    let served = round.services[service_index].groups[index].health == GroupHealth::Serving;
+    round.services[service_index].groups[index].recovering = true;
     if !served {
-        take_any(round, service, index);
+        replace_from_any_domain(round, service_index, index);
     }
 }
 
-fn take_any(round: &mut Round<'_>, service: usize, index: usize) {
-    let group = &round.wanted[service].groups[index];
-    let missing = missing(group);
-    let near = group.domain.and_then(|d| round.free.get(d));
-    let far = round.free.iter().filter(|(d, _)| Some(**d) != group.domain);
-    let all = near
+fn replace_from_any_domain(round: &mut Round<'_>, service_index: usize, index: usize) {
+    let group = &round.services[service_index].groups[index];
+    let missing = replacements_needed(group);
+    let local = group.domain.and_then(|d| round.free.get(d));
+    let remote = round.free.iter().filter(|(d, _)| Some(**d) != group.domain);
+    let all = local
         .into_iter()
         .flatten()
-        .chain(far.flat_map(|(_, free)| free));
+        .chain(remote.flat_map(|(_, free)| free));
     let hosts: Vec<&HostStatus> = all.copied().take(missing).collect();
     if hosts.len() < missing {
         return;
     }
-    keep(round, &hosts);
-    end(round, service, index, EndReason::MemberLost);
+    reserve_hosts(round, &hosts);
+    end_damaged(round, service_index, index, EndReason::MemberLost);
 }
--- a/crates/group/src/plan/end.rs
+++ b/crates/group/src/plan/end.rs
@@ -8,7 +8,7 @@
 };
 
 /// Whether the group could serve when it was ended, so that requests in progress matter.
-pub(crate) fn is_planned(reason: Option<EndReason>) -> bool {
+pub(crate) fn is_graceful(reason: Option<EndReason>) -> bool {
     !matches!(
         reason,
         Some(EndReason::MemberLost | EndReason::MemberRestarted | EndReason::Warmed)
@@ -16,7 +16,7 @@
 }
 
 /// Whether the group is to be formed again from the same hosts where that is possible.
-pub(crate) fn is_reformed(reason: Option<EndReason>) -> bool {
+pub(crate) fn is_reformable(reason: Option<EndReason>) -> bool {
     matches!(
         reason,
         Some(
--- a/crates/group/src/plan/form.rs
+++ b/crates/group/src/plan/form.rs
@@ -5,8 +5,8 @@
 use eelgrassmill_base::{FabricDomain, GroupId, HostId, RowVersion};
 
 use crate::plan::action::Action;
-use crate::plan::end::is_reformed;
-use crate::plan::group::{Group, Standing, Wanted};
+use crate::plan::end::is_reformable;
+use crate::plan::group::{Group, GroupHealth, ServiceState};
 use crate::plan::policy::RepairStrategy;
 use crate::plan::round::Round;
 use crate::plan::view::HostStatus;
@@ -29,47 +29,47 @@
 /// capacity for each load.
 pub(crate) fn reform_ended(round: &mut Round<'_>) {
     let mut ended: Vec<(usize, usize, usize)> = Vec::new();
-    for (service, wanted) in round.wanted.iter().enumerate() {
-        for (index, group) in wanted.groups.iter().enumerate() {
-            let row = &group.facts.row;
-            let age = round.now.saturating_duration_since(group.facts.since);
-            let again = group.standing == Standing::Ending && is_reformed(row.reason);
-            if again && age < round.policy.reform_timeout {
-                ended.push((group.lost.len(), service, index));
+    for (service_index, service) in round.services.iter().enumerate() {
+        for (index, group) in service.groups.iter().enumerate() {
+            let row = &group.status.row;
+            let age = round.now.saturating_duration_since(group.status.since);
+            let reformable = group.health == GroupHealth::Ending && is_reformable(row.reason);
+            if reformable && age < round.policy.reform_timeout {
+                ended.push((group.faults.len(), service_index, index));
             }
         }
     }
     ended.sort_unstable();
-    for (_, service, index) in ended {
-        reform(round, service, index);
+    for (_, service_index, index) in ended {
+        reform(round, service_index, index);
     }
 }
 
-fn reform(round: &mut Round<'_>, service: usize, index: usize) {
-    let wanted = &round.wanted[service];
-    if wanted.expected() >= wanted.count {
+fn reform(round: &mut Round<'_>, service_index: usize, index: usize) {
+    let service = &round.services[service_index];
+    if service.expected() >= service.desired {
         return;
     }
-    let Some(members) = reform_members(round, wanted, index) else {
+    let Some(members) = reform_members(round, service, index) else {
         return;
     };
-    let group = &wanted.groups[index];
+    let group = &service.groups[index];
     let new = NewGroup {
         group: group.id().clone(),
-        row_version: group.facts.row_version,
+        row_version: group.status.row_version,
         phase: GroupPhase::Formed,
         members,
     };
     // Its hosts are kept for it also while some have yet to confirm that they left.
-    round.wanted[service].groups[index].mending = true;
-    keep(round, &new.members);
+    round.services[service_index].groups[index].recovering = true;
+    reserve_hosts(round, &new.members);
     let all_free = new.members.iter().all(|h| h.row.group.is_none());
-    if all_free && is_empty(&new.members) {
-        form(round, service, new);
+    if all_free && all_unplaced(&new.members) {
+        form_group(round, service_index, new);
     }
 }
 
-fn is_empty(members: &[&HostStatus]) -> bool {
+fn all_unplaced(members: &[&HostStatus]) -> bool {
     let empty = |h: &&HostStatus| h.report.as_ref().is_some_and(|r| r.placement.is_none());
     members.iter().all(empty)
 }
@@ -77,12 +77,12 @@
 /// The hosts to form an ended group of: those of its own that are fit and the best spares.
 fn reform_members<'a>(
     round: &Round<'a>,
-    wanted: &Wanted<'a>,
+    service: &ServiceState<'a>,
     index: usize,
 ) -> Option<Vec<&'a HostStatus>> {
-    let group = &wanted.groups[index];
-    let size = wanted.cfg.hosts_per_group as usize;
-    let row = &group.facts.row;
+    let group = &service.groups[index];
+    let size = service.cfg.hosts_per_group as usize;
+    let row = &group.status.row;
     let own = |h: &HostStatus| {
         let bound_here = h.is_bound_to(row);
         let free = h.row.group.is_none() && is_free(round, h);
@@ -91,10 +91,10 @@
     let members = row.members.iter().filter_map(|id| round.view.hosts.get(id));
     let mut picked: Vec<&HostStatus> = members.filter(|h| own(h)).collect();
     let missing = size.saturating_sub(picked.len());
-    picked.extend(spares_for(round, wanted, group, missing));
+    picked.extend(spares_for(round, service, group, missing));
     // A warm spare goes before a member that restarted and has to load anew.
     if round.policy.strategy == RepairStrategy::CostBased {
-        picked.sort_by_key(|h| !h.is_warm(&wanted.weights));
+        picked.sort_by_key(|h| !h.is_warm(&service.weights));
     }
     picked.truncate(size);
     (picked.len() == size).then_some(picked)
@@ -113,28 +113,28 @@
 /// suffice, those of others too, since a slow group is better than none.
 fn spares_for<'a>(
     round: &Round<'a>,
-    wanted: &Wanted<'a>,
+    service: &ServiceState<'a>,
     group: &Group<'a>,
     missing: usize,
 ) -> Vec<&'a HostStatus> {
-    let foreign = |h: &&HostStatus| !group.facts.row.members.contains(&h.row.host);
-    let near = group.domain.and_then(|d| round.free.get(d));
-    let near = near.into_iter().flatten().copied();
-    let mut spares: Vec<&HostStatus> = near.filter(foreign).collect();
+    let outside = |h: &&HostStatus| !group.status.row.members.contains(&h.row.host);
+    let local = group.domain.and_then(|d| round.free.get(d));
+    let local = local.into_iter().flatten().copied();
+    let mut spares: Vec<&HostStatus> = local.filter(outside).collect();
     if spares.len() < missing {
-        let far = round.free.iter().filter(|(d, _)| Some(**d) != group.domain);
-        let far = far.flat_map(|(_, free)| free.iter().copied());
-        let mut far: Vec<&HostStatus> = far.filter(foreign).collect();
+        let remote = round.free.iter().filter(|(d, _)| Some(**d) != group.domain);
+        let remote = remote.flat_map(|(_, free)| free.iter().copied());
+        let mut remote: Vec<&HostStatus> = remote.filter(outside).collect();
         if round.policy.strategy == RepairStrategy::CostBased {
-            sort_by_use(&mut far, wanted);
+            sort_by_warmth(&mut remote, service);
         }
-        spares.extend(far.into_iter().take(missing - spares.len()));
+        spares.extend(remote.into_iter().take(missing - spares.len()));
     }
     spares
 }
 
 /// Takes the hosts out of the free ones.
-pub(crate) fn keep(round: &mut Round<'_>, hosts: &[&HostStatus]) {
+pub(crate) fn reserve_hosts(round: &mut Round<'_>, hosts: &[&HostStatus]) {
     for host in hosts {
         if let Some(entry) = &host.entry {
             round.reserve(&entry.fabric_domain, &[host]);
@@ -147,10 +147,10 @@
 /// Groups that are broken and not expected back, have a member leaving or serve
 /// an old version don't count, so a replacement is made before they are ended.
 pub(crate) fn form_missing(round: &mut Round<'_>) {
-    for service in by_need(round) {
+    for service_index in by_shortfall(round) {
         while round.may_commit() {
-            let wanted = &round.wanted[service];
-            if wanted.expected() >= wanted.count || !form_one(round, service) {
+            let service = &round.services[service_index];
+            if service.expected() >= service.desired || !form_one(round, service_index) {
                 break;
             }
         }
@@ -158,27 +158,27 @@
 }
 
 /// Services, those first whose demand is least met.
-fn by_need(round: &Round<'_>) -> Vec<usize> {
-    let mut order: Vec<usize> = (0..round.wanted.len()).collect();
+fn by_shortfall(round: &Round<'_>) -> Vec<usize> {
+    let mut order: Vec<usize> = (0..round.services.len()).collect();
     order.sort_by_key(|i| {
-        let wanted = &round.wanted[*i];
-        let lacking = wanted.need.saturating_sub(wanted.serving());
-        std::cmp::Reverse(lacking * 1000 / wanted.need.max(1))
+        let service = &round.services[*i];
+        let shortfall = service.required.saturating_sub(service.serving());
+        std::cmp::Reverse(shortfall * 1000 / service.required.max(1))
     });
     order
 }
 
-fn form_one(round: &mut Round<'_>, service: usize) -> bool {
-    let wanted = &round.wanted[service];
-    let size = wanted.cfg.hosts_per_group as usize;
-    let members = match best_domain(round, wanted, size) {
-        Some(domain) => pick(round, wanted, domain, size),
-        None => match span(round, wanted, size) {
+fn form_one(round: &mut Round<'_>, service_index: usize) -> bool {
+    let service = &round.services[service_index];
+    let size = service.cfg.hosts_per_group as usize;
+    let members = match best_domain(round, service, size) {
+        Some(domain) => pick_members(round, service, domain, size),
+        None => match pick_across_domains(round, service, size) {
             Some(members) => members,
             None => return false,
         },
     };
-    let group = next_group(round, wanted);
+    let group = next_group_id(round, service);
     let new = NewGroup {
         group,
         row_version: 0,
@@ -186,16 +186,16 @@
         members,
     };
     let members = new.members.clone();
-    let formed = form(round, service, new);
+    let formed = form_group(round, service_index, new);
     if formed {
-        keep(round, &members);
+        reserve_hosts(round, &members);
     }
     formed
 }
 
 /// Whether some fabric domain has the free hosts for a whole group.
-pub(crate) fn has_room(round: &Round<'_>, wanted: &Wanted<'_>) -> bool {
-    let size = wanted.cfg.hosts_per_group as usize;
+pub(crate) fn has_capacity(round: &Round<'_>, service: &ServiceState<'_>) -> bool {
+    let size = service.cfg.hosts_per_group as usize;
     round.free.values().any(|free| free.len() >= size)
 }
 
@@ -205,52 +205,56 @@
 /// When the service lacks groups for its demand, the least loading goes first.
 fn best_domain<'a>(
     round: &Round<'a>,
-    wanted: &Wanted<'a>,
+    service: &ServiceState<'a>,
     size: usize,
 ) -> Option<&'a FabricDomain> {
-    let urgent = wanted.serving() < wanted.need;
+    let urgent = service.serving() < service.required;
     let fits = round.free.iter().filter(|(_, free)| free.len() >= size);
     let best = fits.min_by_key(|(_, free)| {
-        let warm = free.iter().filter(|h| h.is_warm(&wanted.weights)).count();
+        let warm = free.iter().filter(|h| h.is_warm(&service.weights)).count();
         let cold = size - warm.min(size);
-        let crowd = crowd(round, wanted, free[0]);
-        let spread = if urgent { (cold, crowd) } else { (crowd, cold) };
+        let colocated = colocated(round, service, free[0]);
+        let spread = if urgent {
+            (cold, colocated)
+        } else {
+            (colocated, cold)
+        };
         (spread, std::cmp::Reverse(free.len()))
     });
     best.map(|(domain, _)| *domain)
 }
 
 /// Groups of the service that share the host's failure domain.
-fn crowd(round: &Round<'_>, wanted: &Wanted<'_>, host: &HostStatus) -> usize {
-    let place = host.entry.as_ref().map(|e| &e.failure_domain);
+fn colocated(round: &Round<'_>, service: &ServiceState<'_>, host: &HostStatus) -> usize {
+    let failure_domain = host.entry.as_ref().map(|e| &e.failure_domain);
     let here = |id: &HostId| {
         let member = round.view.hosts.get(id).and_then(|h| h.entry.as_ref());
-        member.is_some_and(|e| Some(&e.failure_domain) == place)
+        member.is_some_and(|e| Some(&e.failure_domain) == failure_domain)
     };
-    let formed = wanted.groups.iter().filter(|g| g.is_formed());
+    let formed = service.groups.iter().filter(|g| g.is_formed());
     formed
-        .filter(|g| g.facts.row.lead().is_some_and(here))
+        .filter(|g| g.status.row.lead().is_some_and(here))
         .count()
 }
 
 /// `size` free hosts of a domain: warm ones first, then those warm for nothing.
-fn pick<'a>(
+fn pick_members<'a>(
     round: &Round<'a>,
-    wanted: &Wanted<'a>,
+    service: &ServiceState<'a>,
     domain: &FabricDomain,
     size: usize,
 ) -> Vec<&'a HostStatus> {
     let mut hosts: Vec<&HostStatus> = round.free.get(domain).cloned().unwrap_or_default();
-    sort_by_use(&mut hosts, wanted);
+    sort_by_warmth(&mut hosts, service);
     hosts.truncate(size);
     hosts
 }
 
 /// Warm hosts first; of the cold ones those first that are of no use to another service.
-pub(crate) fn sort_by_use(hosts: &mut [&HostStatus], wanted: &Wanted<'_>) {
+pub(crate) fn sort_by_warmth(hosts: &mut [&HostStatus], service: &ServiceState<'_>) {
     hosts.sort_by_key(|h| {
         let warm = h.report.as_ref().map_or(0, |r| r.warm.len());
-        (!h.is_warm(&wanted.weights), warm)
+        (!h.is_warm(&service.weights), warm)
     });
 }
 
@@ -258,57 +262,61 @@
 ///
 /// Such a group is slow. It is the last resort after the service has been short
 /// for a while, since hosts that come back may make a better one.
-fn span<'a>(round: &Round<'a>, wanted: &Wanted<'a>, size: usize) -> Option<Vec<&'a HostStatus>> {
-    let short = wanted.standing() < wanted.count;
+fn pick_across_domains<'a>(
+    round: &Round<'a>,
+    service: &ServiceState<'a>,
+    size: usize,
+) -> Option<Vec<&'a HostStatus>> {
+    let short = service.serving_or_expected() < service.desired;
     let since = |at: Instant| round.now.saturating_duration_since(at) >= round.policy.span_after;
-    let waited = wanted
+    let waited = service
         .groups
         .iter()
-        .all(|g| g.is_serving() || since(g.facts.down_since));
+        .all(|g| g.is_serving() || since(g.status.down_since));
     if !short || !waited || round.policy.strategy != RepairStrategy::CostBased {
         return None;
     }
     let mut domains: Vec<&Vec<&HostStatus>> = round.free.values().collect();
     domains.sort_by_key(|free| std::cmp::Reverse(free.len()));
     let mut hosts: Vec<&HostStatus> = domains.into_iter().flatten().copied().collect();
-    sort_by_use(&mut hosts, wanted);
+    sort_by_warmth(&mut hosts, service);
     hosts.truncate(size);
     let settled = hosts.iter().all(|h| since(h.first_seen));
     (hosts.len() == size && settled).then_some(hosts)
 }
 
 /// The lowest free index of those that belong to this region.
-fn next_group(round: &Round<'_>, wanted: &Wanted<'_>) -> GroupId {
+fn next_group_id(round: &Round<'_>, service: &ServiceState<'_>) -> GroupId {
     let regions = round.view.regions.len().max(1) as u32;
-    let first = round.region_number() as u32;
-    let taken: std::collections::BTreeSet<u32> = wanted
+    let first = round.region_index() as u32;
+    let taken: std::collections::BTreeSet<u32> = service
         .groups
         .iter()
         .filter_map(|g| parse_group_id(g.id()))
         .map(|(_, index)| index)
-        .chain(round.formed_now(wanted.name))
+        .chain(round.formed_this_round(service.name))
         .collect();
     let mut index = first;
     while taken.contains(&index) {
         index += regions;
     }
-    group_id(wanted.name, index)
+    group_id(service.name, index)
 }
 
 /// Adds the transaction that binds free hosts to a group; whether the bounds allowed it.
-pub(crate) fn form(round: &mut Round<'_>, service: usize, new: NewGroup<'_>) -> bool {
-    let weights = round.wanted[service].weights.clone();
+pub(crate) fn form_group(round: &mut Round<'_>, service_index: usize, new: NewGroup<'_>) -> bool {
+    let weights = round.services[service_index].weights.clone();
     let cold = new.members.iter().filter(|h| !h.is_warm(&weights)).count();
     if !round.may_commit() || !round.may_load(cold) {
         return false;
     }
     let epoch = round.take_epoch();
-    let wanted = &round.wanted[service];
+    let service = &round.services[service_index];
     let row = GroupRow {
         group: new.group,
-        service: wanted.name.clone(),
-        model: wanted.cfg.model.clone(),
-        version: wanted.cfg.version.clone(),
+        service: service.name.clone(),
+        model: service.cfg.model.clone(),
+        version: service.cfg.version.clone(),
         epoch,
         members: new.members.iter().map(|h| h.row.host.clone()).collect(),
         phase: new.phase,
@@ -331,7 +339,7 @@
             .put(key, RowValue::Host(bound));
     }
     round.loading += cold;
-    round.note_formed(service, &row);
+    round.record_formed(service_index, &row);
     round.push_transaction(Action::FormGroup { row, transaction });
     true
 }
--- a/crates/group/src/plan/mod.rs
+++ b/crates/group/src/plan/mod.rs
@@ -10,15 +10,15 @@
 mod baseline;
 mod end;
 mod form;
-mod give;
 mod group;
-mod join;
+mod merge;
 mod policy;
+mod preempt;
+mod reconcile;
 mod recovery;
 mod repair;
+mod retire;
 mod round;
-mod settle;
-mod shape;
 mod view;
 mod warm;
 
@@ -34,12 +34,12 @@
 /// What is to be done now, the most urgent first.
 pub fn plan(view: &FleetView, policy: &RepairPolicy, now: Instant) -> Vec<Action> {
     let mut round = Round::new(view, policy, now);
-    settle::settle(&mut round);
-    shape::end_surplus(&mut round);
+    reconcile::reconcile(&mut round);
+    retire::end_surplus(&mut round);
     form::reform_ended(&mut round);
     repair::repair(&mut round);
     form::form_missing(&mut round);
-    shape::roll_out(&mut round);
+    retire::roll_out(&mut round);
     warm::warm_spares(&mut round);
     round.actions
 }
--- a/crates/group/src/plan/settle.rs
+++ b/crates/group/src/plan/reconcile.rs
@@ -4,35 +4,35 @@
 
 use crate::plan::action::{Action, FreeReason};
 use crate::plan::end;
-use crate::plan::round::{GroupFinder, Round};
+use crate::plan::round::{GroupLookup, Round};
 use crate::plan::view::{GroupStatus, HostStatus};
 use crate::rows::{
     EndReason, GroupPhase, GroupRow, HostRow, RowValue, Transaction, group_key, host_key,
 };
 
 /// Sends what hosts have yet to obey, frees what has been released, and removes what is over.
-pub(crate) fn settle(round: &mut Round<'_>) {
+pub(crate) fn reconcile(round: &mut Round<'_>) {
     let view = round.view;
-    let mut groups = GroupFinder::new(view);
+    let mut groups = GroupLookup::new(view);
     for host in view.hosts.values() {
-        settle_host(round, host, groups.of(host));
+        reconcile_host(round, host, groups.find(host));
     }
     for group in view.groups.values() {
-        if round.is_ours(group) {
-            settle_group(round, group);
+        if round.is_owned(group) {
+            reconcile_group(round, group);
         }
     }
 }
 
-fn settle_host(round: &mut Round<'_>, host: &HostStatus, group: Option<&GroupStatus>) {
-    let ours = group.is_some_and(|g| round.is_ours(g));
-    if host.entry.is_none() && !ours {
+fn reconcile_host(round: &mut Round<'_>, host: &HostStatus, group: Option<&GroupStatus>) {
+    let owned = group.is_some_and(|g| round.is_owned(g));
+    if host.entry.is_none() && !owned {
         return;
     }
     let live = group.filter(|g| g.is_live() && host.is_bound_to(&g.row));
     let fresh = host.silent_for(round.now) <= round.policy.detection_timeout;
     if let Some(report) = host.report.as_ref().filter(|_| fresh) {
-        order(round, host, report, group, live);
+        order_host(round, host, report, group, live);
     }
     if host.row.group.is_some() && live.is_none() {
         release(round, host, fresh);
@@ -44,7 +44,7 @@
 /// A host that was paused or cut off comes back as if nothing had happened and
 /// may report a group that has long been formed without it. What it holds is
 /// compared with its row only, never taken from its own word.
-fn order(
+fn order_host(
     round: &mut Round<'_>,
     host: &HostStatus,
     report: &HostReport,
@@ -53,9 +53,10 @@
 ) {
     let held = report.placement.as_ref();
     match (held, live) {
-        (Some(held), Some(live)) if holds(held, &live.row) => {}
+        (Some(held), Some(live)) if is_placed_in(held, &live.row) => {}
         (Some(held), _) => {
-            let draining = group.is_some_and(|g| holds(held, &g.row) && !is_drained(round, g));
+            let draining =
+                group.is_some_and(|g| is_placed_in(held, &g.row) && !is_drained(round, g));
             if !draining {
                 send(round, host, OrderKind::Leave, held.clone());
             }
@@ -70,7 +71,7 @@
     }
 }
 
-fn holds(held: &Placement, row: &GroupRow) -> bool {
+fn is_placed_in(held: &Placement, row: &GroupRow) -> bool {
     held.group == row.group && held.epoch == row.epoch
 }
 
@@ -136,7 +137,7 @@
 
 /// Whether the requests in progress of an ending group have ended or had their time.
 fn is_drained(round: &Round<'_>, group: &GroupStatus) -> bool {
-    if group.is_live() || !end::is_planned(group.row.reason) || !group.served {
+    if group.is_live() || !end::is_graceful(group.row.reason) || !group.served {
         return true;
     }
     let ending_for = round.now.saturating_duration_since(group.since);
@@ -152,8 +153,10 @@
 /// Frees a host of a group that ended, when that is confirmed or outlived.
 fn release(round: &mut Round<'_>, host: &HostStatus, fresh: bool) {
     let reason = match host.report.as_ref() {
-        Some(report) if fresh => confirms(round, host, report).then_some(FreeReason::Confirmed),
-        _ => is_outlived(round, host).then_some(FreeReason::OrdersExpired),
+        Some(report) if fresh => {
+            confirms_release(round, host, report).then_some(FreeReason::Confirmed)
+        }
+        _ => orders_expired(round, host).then_some(FreeReason::OrdersExpired),
     };
     let Some(reason) = reason.filter(|_| round.may_commit()) else {
         return;
@@ -179,7 +182,7 @@
 /// A host that checks orders proves it by the fence that it has obeyed. For
 /// any other host a `Join` may still be under way behind an empty report;
 /// only an answer to a probe sent after the last `Join` has had its time counts.
-fn confirms(round: &Round<'_>, host: &HostStatus, report: &HostReport) -> bool {
+fn confirms_release(round: &Round<'_>, host: &HostStatus, report: &HostReport) -> bool {
     if report.placement.is_some() {
         return false;
     }
@@ -188,8 +191,8 @@
     }
     let transit = round.policy.timing.order_transit;
     let own = host.join_sent.map(|at| at + transit);
-    let settled = own.map_or(round.view.quiet_until, |at| at.max(round.view.quiet_until));
-    host.probe_sent.is_some_and(|sent| sent >= settled)
+    let earliest = own.map_or(round.view.quiet_until, |at| at.max(round.view.quiet_until));
+    host.probe_sent.is_some_and(|sent| sent >= earliest)
 }
 
 /// Whether the host has been silent, and its group ended, for so long that nothing which the
@@ -197,16 +200,16 @@
 ///
 /// Beginning to end a group writes the row of every member, so the row's age is
 /// the time since then at most.
-fn is_outlived(round: &Round<'_>, host: &HostStatus) -> bool {
+fn orders_expired(round: &Round<'_>, host: &HostStatus) -> bool {
     let ended_for = round.now.saturating_duration_since(host.row_since);
     let needed = round.policy.timing.orders_expire_after();
     ended_for >= needed && host.silent_for(round.now) >= needed
 }
 
 /// Ends a group that has done its work or is in no configuration, and removes one that is over.
-fn settle_group(round: &mut Round<'_>, group: &GroupStatus) {
+fn reconcile_group(round: &mut Round<'_>, group: &GroupStatus) {
     match group.row.phase {
-        GroupPhase::Ending => remove_if_over(round, group),
+        GroupPhase::Ending => remove_if_finished(round, group),
         GroupPhase::Warming => end_if_warm(round, group),
         GroupPhase::Formed => {}
     }
@@ -223,8 +226,12 @@
         return;
     };
     let report = host.report.as_ref();
-    let ready = report
-        .is_some_and(|r| r.ready && r.placement.as_ref().is_some_and(|p| holds(p, &group.row)));
+    let ready = report.is_some_and(|r| {
+        r.ready
+            && r.placement
+                .as_ref()
+                .is_some_and(|p| is_placed_in(p, &group.row))
+    });
     let late = round.now.saturating_duration_since(group.since) > round.policy.load_timeout;
     if ready || late || !round.is_healthy(host) {
         end::end_group(round, group, EndReason::Warmed);
@@ -232,11 +239,11 @@
 }
 
 /// Deletes the row of a group that no service will form anew and that binds no host.
-fn remove_if_over(round: &mut Round<'_>, group: &GroupStatus) {
-    let wanted = round.wanted.iter().any(|w| *w.name == group.row.service);
-    let again = wanted && end::is_reformed(group.row.reason);
+fn remove_if_finished(round: &mut Round<'_>, group: &GroupStatus) {
+    let configured = round.services.iter().any(|w| *w.name == group.row.service);
+    let reformable = configured && end::is_reformable(group.row.reason);
     let waiting = round.now.saturating_duration_since(group.since) < round.policy.reform_timeout;
-    if (again && waiting) || !round.may_commit() {
+    if (reformable && waiting) || !round.may_commit() {
         return;
     }
     let bound = |id| {
--- a/crates/group/src/plan/recovery.rs
+++ b/crates/group/src/plan/recovery.rs
@@ -12,9 +12,9 @@
 /// What is believed before anything was seen, as (class, count): pauses, restarts, long repairs.
 const PRIOR: [(usize, u32); 5] = [(2, 1), (3, 1), (5, 1), (11, 2), (14, 1)];
 /// Absences believed never to end, before anything was seen.
-const PRIOR_NEVER: u32 = 1;
+const PRIOR_PERMANENT: u32 = 1;
 /// Counts are halved at this sum, so that the newest thousand or so absences decide.
-const FORGET_AT: u32 = 2_000;
+const DECAY_THRESHOLD: u32 = 2_000;
 
 value! { copy
     /// What went missing.
@@ -39,7 +39,7 @@
 #[derive(Clone, Debug)]
 struct Histogram {
     counts: [u32; BOUNDS_MS.len()],
-    never: u32,
+    permanent: u32,
 }
 
 /// How long absences last.
@@ -68,22 +68,22 @@
         }
     }
 
-    /// Notes that an absence ended after `lasted`, in a return of this worth.
-    pub fn record(&mut self, scope: FailureScope, recovery: Recovery, lasted: Duration) {
+    /// Notes that an absence ended after `outage`, in a return of this worth.
+    pub fn record(&mut self, scope: FailureScope, recovery: Recovery, outage: Duration) {
         let recoveries = self.recoveries_mut(scope);
-        recoveries.reusable.add(lasted);
+        recoveries.reusable.add(outage);
         match recovery {
-            Recovery::Intact => recoveries.intact.add(lasted),
+            Recovery::Intact => recoveries.intact.add(outage),
             // A host that comes back empty does not make its group whole again.
-            Recovery::Reusable => recoveries.intact.add_never(),
+            Recovery::Reusable => recoveries.intact.add_permanent(),
         }
     }
 
     /// Notes that a host that was missing has left the host list.
     pub fn record_permanent(&mut self, scope: FailureScope) {
         let recoveries = self.recoveries_mut(scope);
-        recoveries.reusable.add_never();
-        recoveries.intact.add_never();
+        recoveries.reusable.add_permanent();
+        recoveries.intact.add_permanent();
     }
 
     /// How long after the start of an absence to act, if acting takes `cost` until the group
@@ -139,59 +139,59 @@
 }
 
 impl Histogram {
-    fn add(&mut self, lasted: Duration) {
-        self.counts[class_of(lasted)] += 1;
-        self.forget();
+    fn add(&mut self, outage: Duration) {
+        self.counts[bucket_of(outage)] += 1;
+        self.decay();
     }
 
-    fn add_never(&mut self) {
-        self.never += 1;
-        self.forget();
+    fn add_permanent(&mut self) {
+        self.permanent += 1;
+        self.decay();
     }
 
     fn prior() -> Histogram {
         let mut counts = [0; BOUNDS_MS.len()];
-        for (class, count) in PRIOR {
-            counts[class] = count;
+        for (bucket, count) in PRIOR {
+            counts[bucket] = count;
         }
         Histogram {
             counts,
-            never: PRIOR_NEVER,
+            permanent: PRIOR_PERMANENT,
         }
     }
 
-    fn forget(&mut self) {
-        let sum: u32 = self.counts.iter().sum::<u32>() + self.never;
-        if sum < FORGET_AT {
+    fn decay(&mut self) {
+        let sum: u32 = self.counts.iter().sum::<u32>() + self.permanent;
+        if sum < DECAY_THRESHOLD {
             return;
         }
         for count in &mut self.counts {
             *count /= 2;
         }
-        self.never = (self.never / 2).max(1);
+        self.permanent = (self.permanent / 2).max(1);
     }
 
     /// Sum over all absences of the downtime in milliseconds, if acting after `wait`.
     fn expected_downtime(&self, wait: u64, cost: u64) -> u64 {
-        let mut sum = u64::from(self.never) * (wait + cost);
+        let mut sum = u64::from(self.permanent) * (wait + cost);
         let mut lower = 0;
         for (count, upper) in self.counts.iter().zip(BOUNDS_MS) {
-            let lasted = if upper <= wait {
+            let outage = if upper <= wait {
                 (lower + upper) / 2
             } else {
                 wait + cost
             };
-            sum += u64::from(*count) * lasted;
+            sum += u64::from(*count) * outage;
             lower = upper;
         }
         sum
     }
 }
 
-fn class_of(lasted: Duration) -> usize {
-    let ms = millis(lasted);
-    let class = BOUNDS_MS.partition_point(|upper| *upper < ms);
-    class.min(BOUNDS_MS.len() - 1)
+fn bucket_of(outage: Duration) -> usize {
+    let ms = millis(outage);
+    let bucket = BOUNDS_MS.partition_point(|upper| *upper < ms);
+    bucket.min(BOUNDS_MS.len() - 1)
 }
 
 fn millis(d: Duration) -> u64 {
--- a/crates/group/src/plan/repair.rs
+++ b/crates/group/src/plan/repair.rs
@@ -11,11 +11,11 @@
 
 use crate::plan::baseline::{first_spare, wait_for_return};
 use crate::plan::end::end_group;
-use crate::plan::form::{has_room, keep, sort_by_use};
-use crate::plan::give::yield_to_need;
-use crate::plan::group::{Group, Lost, Standing, Wanted};
-use crate::plan::join::join_broken;
+use crate::plan::form::{has_capacity, reserve_hosts, sort_by_warmth};
+use crate::plan::group::{Group, GroupHealth, MemberFault, ServiceState};
+use crate::plan::merge::merge_broken;
 use crate::plan::policy::RepairStrategy;
+use crate::plan::preempt::preempt_for_demand;
 use crate::plan::recovery::{FailureScope, Recovery};
 use crate::plan::round::Round;
 use crate::plan::view::HostStatus;
@@ -23,79 +23,86 @@
 
 /// Looks at every group that has lost a member.
 pub(crate) fn repair(round: &mut Round<'_>) {
-    for (service, index) in damaged(round) {
+    for (service_index, index) in damaged(round) {
         match round.policy.strategy {
-            RepairStrategy::CostBased => weigh(round, service, index),
-            RepairStrategy::WaitForReturn => wait_for_return(round, service, index),
-            RepairStrategy::FirstSpare => first_spare(round, service, index),
+            RepairStrategy::CostBased => repair_group(round, service_index, index),
+            RepairStrategy::WaitForReturn => wait_for_return(round, service_index, index),
+            RepairStrategy::FirstSpare => first_spare(round, service_index, index),
         }
     }
     if round.policy.strategy == RepairStrategy::CostBased {
-        join_broken(round);
-        borrow(round);
-        yield_to_need(round);
+        merge_broken(round);
+        complete_across_domains(round);
+        preempt_for_demand(round);
     }
 }
 
 /// Damaged groups, those first that need the fewest other hosts.
 fn damaged(round: &Round<'_>) -> Vec<(usize, usize)> {
     let mut found = Vec::new();
-    for (service, wanted) in round.wanted.iter().enumerate() {
-        for (index, group) in wanted.groups.iter().enumerate() {
-            if group.is_formed() && !group.lost.is_empty() {
-                let served = group.standing == Standing::Serving;
-                found.push((served, group.lost.len(), service, index));
+    for (service_index, service) in round.services.iter().enumerate() {
+        for (index, group) in service.groups.iter().enumerate() {
+            if group.is_formed() && !group.faults.is_empty() {
+                let served = group.health == GroupHealth::Serving;
+                found.push((served, group.faults.len(), service_index, index));
             }
         }
     }
     found.sort_unstable();
     found
         .into_iter()
-        .map(|(_, _, service, index)| (service, index))
+        .map(|(_, _, service_index, index)| (service_index, index))
         .collect()
 }
 
-fn weigh(round: &mut Round<'_>, service: usize, index: usize) {
-    let group = &round.wanted[service].groups[index];
+fn repair_group(round: &mut Round<'_>, service_index: usize, index: usize) {
+    let group = &round.services[service_index].groups[index];
     let Some(domain) = group.domain else {
         // Spares of other fabric domains are considered later; a restart needs none.
-        if group.standing == Standing::Broken && missing(group) == 0 {
-            end(round, service, index, EndReason::MemberRestarted);
+        if group.health == GroupHealth::Broken && replacements_needed(group) == 0 {
+            end_damaged(round, service_index, index, EndReason::MemberRestarted);
         }
         return;
     };
-    match group.standing {
-        Standing::Serving => weigh_leaving(round, service, index, domain),
-        Standing::Coming | Standing::Broken => weigh_broken(round, service, index, domain),
-        Standing::Ending => {}
+    match group.health {
+        GroupHealth::Serving => replace_leaving(round, service_index, index, domain),
+        GroupHealth::Starting | GroupHealth::Broken => {
+            repair_broken(round, service_index, index, domain)
+        }
+        GroupHealth::Ending => {}
     }
 }
 
 /// A group that serves and has a member leaving: replaced whole where that fits, else its
 /// leaving members are swapped for spares that are warm already.
-fn weigh_leaving(round: &mut Round<'_>, service: usize, index: usize, domain: &FabricDomain) {
-    let wanted = &round.wanted[service];
-    let group = &wanted.groups[index];
+fn replace_leaving(
+    round: &mut Round<'_>,
+    service_index: usize,
+    index: usize,
+    domain: &FabricDomain,
+) {
+    let service = &round.services[service_index];
+    let group = &service.groups[index];
     let leaving = group
-        .lost
+        .faults
         .iter()
-        .filter(|(_, why)| *why == Lost::Leaving)
+        .filter(|(_, fault)| *fault == MemberFault::Leaving)
         .count();
     // A replacement that is on its way is waited for: ending the group now would take
     // away capacity that it still gives.
-    let replaced = wanted.expected() >= wanted.count;
-    let room = has_room(round, wanted) || room_is_coming(round, wanted, domain);
-    if leaving == 0 || replaced || room {
+    let replacing = service.expected() >= service.desired;
+    let has_room = has_capacity(round, service) || capacity_is_pending(round, service, domain);
+    if leaving == 0 || replacing || has_room {
         return;
     }
-    let spared = wanted.serving() > wanted.cfg.floor as usize;
-    match spares(round, service, domain, leaving) {
-        Spares::Warm(hosts) if spared => {
-            end(round, service, index, EndReason::MemberLeaving);
+    let above_floor = service.serving() > service.cfg.floor as usize;
+    match find_spares(round, service_index, domain, leaving) {
+        Spares::Warm(hosts) if above_floor => {
+            end_damaged(round, service_index, index, EndReason::MemberLeaving);
             round.reserve(domain, &hosts);
         }
         Spares::Warm(hosts) => round.reserve(domain, &hosts),
-        Spares::Cold(hosts) => wish(round, service, hosts),
+        Spares::Cold(hosts) => request_warmup(round, service_index, hosts),
         Spares::Loading | Spares::TooFew => {}
     }
 }
@@ -104,90 +111,101 @@
 ///
 /// Their rows are freed within a few rounds. Swapping a member meanwhile would stop a
 /// group that serves, for the whole of its draining, where a replacement costs nothing.
-fn room_is_coming(round: &Round<'_>, wanted: &Wanted<'_>, domain: &FabricDomain) -> bool {
+fn capacity_is_pending(
+    round: &Round<'_>,
+    service: &ServiceState<'_>,
+    domain: &FabricDomain,
+) -> bool {
     let released = |h: &&HostStatus| {
         let group = h.row.group.as_ref().and_then(|g| round.view.groups.get(g));
         let warmed = group.is_some_and(|g| g.row.reason == Some(EndReason::Warmed));
-        let near = h.entry.as_ref().is_some_and(|e| e.fabric_domain == *domain);
-        warmed && near && round.is_healthy(h)
+        let same_domain = h.entry.as_ref().is_some_and(|e| e.fabric_domain == *domain);
+        warmed && same_domain && round.is_healthy(h)
     };
-    let coming = round.view.hosts.values().filter(released).count();
+    let pending = round.view.hosts.values().filter(released).count();
     let free = round.free.get(domain).map_or(0, Vec::len);
-    free + coming >= wanted.cfg.hosts_per_group as usize
+    free + pending >= service.cfg.hosts_per_group as usize
 }
 
-fn weigh_broken(round: &mut Round<'_>, service: usize, index: usize, domain: &FabricDomain) {
-    let group = &round.wanted[service].groups[index];
-    let missing = missing(group);
-    let fit_again = group.lost.len() - missing;
-    let reason = if fit_again > 0 {
+fn repair_broken(round: &mut Round<'_>, service_index: usize, index: usize, domain: &FabricDomain) {
+    let group = &round.services[service_index].groups[index];
+    let missing = replacements_needed(group);
+    let restarted = group.faults.len() - missing;
+    let reason = if restarted > 0 {
         EndReason::MemberRestarted
     } else {
         EndReason::MemberLost
     };
     // Nothing is gained by waiting when a member has restarted: the group can't come back.
-    let beyond_return = fit_again > 0 || !may_return(group);
+    let unrecoverable = restarted > 0 || !may_recover(group);
     if missing == 0 {
-        end(round, service, index, reason);
+        end_damaged(round, service_index, index, reason);
         return;
     }
-    let acts = beyond_return || is_time(round, group, Recovery::Intact, round.policy.reform_time);
-    match spares(round, service, domain, missing) {
+    let should_end =
+        unrecoverable || wait_is_over(round, group, Recovery::Intact, round.policy.reform_time);
+    match find_spares(round, service_index, domain, missing) {
         Spares::Warm(hosts) => {
             round.reserve(domain, &hosts);
-            round.wanted[service].groups[index].mending = true;
-            if acts {
-                end(round, service, index, reason);
+            round.services[service_index].groups[index].recovering = true;
+            if should_end {
+                end_damaged(round, service_index, index, reason);
             }
         }
         Spares::Cold(hosts) => {
-            round.wanted[service].groups[index].mending = true;
-            wish(round, service, hosts);
+            round.services[service_index].groups[index].recovering = true;
+            request_warmup(round, service_index, hosts);
         }
-        Spares::Loading => round.wanted[service].groups[index].mending = true,
+        Spares::Loading => round.services[service_index].groups[index].recovering = true,
         Spares::TooFew => {}
     }
 }
 
 /// Members that have to be replaced; one that restarted is fit to be a member again.
-pub(crate) fn missing(group: &Group<'_>) -> usize {
-    let gone = group.lost.iter().filter(|(_, why)| *why != Lost::Restarted);
+pub(crate) fn replacements_needed(group: &Group<'_>) -> usize {
+    let gone = group
+        .faults
+        .iter()
+        .filter(|(_, fault)| *fault != MemberFault::Restarted);
     gone.count()
 }
 
 /// Whether the group becomes whole if its silent members answer again.
-pub(crate) fn may_return(group: &Group<'_>) -> bool {
-    group.lost.iter().all(|(_, why)| *why == Lost::Silent)
+pub(crate) fn may_recover(group: &Group<'_>) -> bool {
+    group
+        .faults
+        .iter()
+        .all(|(_, fault)| *fault == MemberFault::Unreachable)
 }
 
 /// Whether acting at `cost` now is expected to cost less downtime than waiting on for a
 /// return of this worth.
-pub(crate) fn is_time(
+pub(crate) fn wait_is_over(
     round: &Round<'_>,
     group: &Group<'_>,
     recovery: Recovery,
     cost: Duration,
 ) -> bool {
-    let Some(scope) = scope(round, group) else {
+    let Some(scope) = failure_scope(round, group) else {
         return true;
     };
-    silence(round, group)
+    silent_time(round, group)
         >= round
             .view
             .recovery_model
             .optimal_wait(scope, recovery, cost)
 }
 
-fn scope(round: &Round<'_>, group: &Group<'_>) -> Option<FailureScope> {
-    let (host, _) = group.lost.first()?;
+fn failure_scope(round: &Round<'_>, group: &Group<'_>) -> Option<FailureScope> {
+    let (host, _) = group.faults.first()?;
     let entry = round.view.hosts.get(*host)?.entry.as_ref()?;
     Some(round.failure_scope_in(&entry.fabric_domain))
 }
 
 /// How long the member has been silent that was lost last.
-fn silence(round: &Round<'_>, group: &Group<'_>) -> Duration {
+fn silent_time(round: &Round<'_>, group: &Group<'_>) -> Duration {
     let hosts = group
-        .lost
+        .faults
         .iter()
         .filter_map(|(id, _)| round.view.hosts.get(*id));
     let silences = hosts.map(|h| h.silent_for(round.now));
@@ -205,21 +223,21 @@
     TooFew,
 }
 
-fn spares<'a>(
+fn find_spares<'a>(
     round: &mut Round<'a>,
-    service: usize,
+    service_index: usize,
     domain: &FabricDomain,
     missing: usize,
 ) -> Spares<'a> {
-    let wanted = &round.wanted[service];
+    let service = &round.services[service_index];
     let mut free: Vec<&HostStatus> = round.free.get(domain).cloned().unwrap_or_default();
-    sort_by_use(&mut free, wanted);
-    let warm = free.iter().filter(|h| h.is_warm(&wanted.weights)).count();
+    sort_by_warmth(&mut free, service);
+    let warm = free.iter().filter(|h| h.is_warm(&service.weights)).count();
     if warm >= missing {
         free.truncate(missing);
         return Spares::Warm(free);
     }
-    let name = wanted.name.as_str();
+    let name = service.name.as_str();
     let loading = round
         .warming
         .iter_mut()
@@ -241,19 +259,26 @@
 }
 
 /// Keeps the hosts for the service and asks for those that are cold to be loaded.
-fn wish<'a>(round: &mut Round<'a>, service: usize, hosts: Vec<&'a HostStatus>) {
-    keep(round, &hosts);
-    let weights = round.wanted[service].weights.clone();
+fn request_warmup<'a>(round: &mut Round<'a>, service_index: usize, hosts: Vec<&'a HostStatus>) {
+    reserve_hosts(round, &hosts);
+    let weights = round.services[service_index].weights.clone();
     let cold = hosts.into_iter().filter(|h| !h.is_warm(&weights));
-    round.wishes.extend(cold.map(|h| (service, h)));
+    round
+        .warmup_requests
+        .extend(cold.map(|h| (service_index, h)));
 }
 
-pub(crate) fn end(round: &mut Round<'_>, service: usize, index: usize, reason: EndReason) {
-    let facts = round.wanted[service].groups[index].facts;
-    if end_group(round, facts, reason) {
-        let group = &mut round.wanted[service].groups[index];
-        group.ended_now = true;
-        group.mending = true;
+pub(crate) fn end_damaged(
+    round: &mut Round<'_>,
+    service_index: usize,
+    index: usize,
+    reason: EndReason,
+) {
+    let status = round.services[service_index].groups[index].status;
+    if end_group(round, status, reason) {
+        let group = &mut round.services[service_index].groups[index];
+        group.ended_this_round = true;
+        group.recovering = true;
     }
 }
 
@@ -261,35 +286,35 @@
 ///
 /// Such a group is slow, which is better than none; where a whole group fits
 /// into one fabric domain, that is made instead.
-fn borrow(round: &mut Round<'_>) {
-    for (service, index) in damaged(round) {
-        let wanted = &round.wanted[service];
-        let group = &wanted.groups[index];
-        let size = group.facts.row.members.len();
-        let ripe = !may_return(group)
-            || is_time(round, group, Recovery::Intact, round.policy.reform_time * 2);
-        let lost = missing(group);
-        if !is_stuck(group) || has_room(round, wanted) || lost == size || !ripe {
+fn complete_across_domains(round: &mut Round<'_>) {
+    for (service_index, index) in damaged(round) {
+        let service = &round.services[service_index];
+        let group = &service.groups[index];
+        let size = group.status.row.members.len();
+        let ready = !may_recover(group)
+            || wait_is_over(round, group, Recovery::Intact, round.policy.reform_time * 2);
+        let lost = replacements_needed(group);
+        if !is_stuck(group) || has_capacity(round, service) || lost == size || !ready {
             continue;
         }
-        let mut far: Vec<&HostStatus> = round.free.values().flatten().copied().collect();
-        sort_by_use(&mut far, wanted);
-        far.truncate(lost);
-        if far.len() < lost {
+        let mut remote: Vec<&HostStatus> = round.free.values().flatten().copied().collect();
+        sort_by_warmth(&mut remote, service);
+        remote.truncate(lost);
+        if remote.len() < lost {
             continue;
         }
-        let warm = far.iter().all(|h| h.is_warm(&wanted.weights));
-        let hopeless = !may_return(group);
-        round.wanted[service].groups[index].mending = true;
-        if warm || hopeless {
-            keep(round, &far);
-            end(round, service, index, EndReason::MemberLost);
+        let warm = remote.iter().all(|h| h.is_warm(&service.weights));
+        let unrecoverable = !may_recover(group);
+        round.services[service_index].groups[index].recovering = true;
+        if warm || unrecoverable {
+            reserve_hosts(round, &remote);
+            end_damaged(round, service_index, index, EndReason::MemberLost);
         } else {
-            wish(round, service, far);
+            request_warmup(round, service_index, remote);
         }
     }
 }
 
 pub(crate) fn is_stuck(group: &Group<'_>) -> bool {
-    group.standing == Standing::Broken && group.is_formed() && !group.mending
+    group.health == GroupHealth::Broken && group.is_formed() && !group.recovering
 }
--- a/crates/group/src/plan/round.rs
+++ b/crates/group/src/plan/round.rs
@@ -8,7 +8,7 @@
 use smallvec::SmallVec;
 
 use crate::plan::action::Action;
-use crate::plan::group::{Group, Lost, Standing, Wanted};
+use crate::plan::group::{Group, GroupHealth, MemberFault, ServiceState};
 use crate::plan::policy::RepairPolicy;
 use crate::plan::recovery::FailureScope;
 use crate::plan::view::{CORRELATED_HOSTS, FleetView, GroupStatus, HostStatus};
@@ -18,18 +18,18 @@
 
 /// Looks groups up by name, and remembers the last: neighbours in the order of names are
 /// mostly in one group.
-pub(crate) struct GroupFinder<'a> {
+pub(crate) struct GroupLookup<'a> {
     view: &'a FleetView,
     last: Option<&'a GroupStatus>,
 }
 
-impl<'a> GroupFinder<'a> {
-    pub(crate) fn new(view: &'a FleetView) -> GroupFinder<'a> {
-        GroupFinder { view, last: None }
+impl<'a> GroupLookup<'a> {
+    pub(crate) fn new(view: &'a FleetView) -> GroupLookup<'a> {
+        GroupLookup { view, last: None }
     }
 
     /// The group that the host's row names.
-    pub(crate) fn of(&mut self, host: &HostStatus) -> Option<&'a GroupStatus> {
+    pub(crate) fn find(&mut self, host: &HostStatus) -> Option<&'a GroupStatus> {
         let name = host.row.group.as_ref()?;
         if let Some(last) = self.last.filter(|last| last.row.group == *name) {
             return Some(last);
@@ -45,22 +45,22 @@
     pub(crate) policy: &'a RepairPolicy,
     pub(crate) now: Instant,
     pub(crate) actions: Vec<Action>,
-    pub(crate) wanted: Vec<Wanted<'a>>,
+    pub(crate) services: Vec<ServiceState<'a>>,
     /// Hosts that may be taken, by fabric domain. Invariant: in order of their names.
     pub(crate) free: BTreeMap<&'a FabricDomain, Vec<&'a HostStatus>>,
     /// Hosts by the group that their rows name; most groups are indexed from here without a
     /// search for each member.
-    bound: BTreeMap<&'a GroupId, Members<'a>>,
+    by_group: BTreeMap<&'a GroupId, Members<'a>>,
     /// Hosts that don't answer, by fabric domain.
-    silent: BTreeMap<&'a FabricDomain, usize>,
+    unreachable: BTreeMap<&'a FabricDomain, usize>,
     /// Hosts loading now or ordered to by this round.
     pub(crate) loading: usize,
     pub(crate) transactions: usize,
     /// Spares that load weights or are being released after it, by service and fabric domain.
     pub(crate) warming: BTreeMap<(&'a str, &'a FabricDomain), usize>,
-    /// Spares that a broken group needs warm: the service's place in `wanted`, and the host.
-    pub(crate) wishes: Vec<(usize, &'a HostStatus)>,
-    /// Groups formed by this round: the service's place in `wanted`, and the index.
+    /// Spares that a broken group needs warm: the service's place in `services`, and the host.
+    pub(crate) warmup_requests: Vec<(usize, &'a HostStatus)>,
+    /// Groups formed by this round: the service's place in `services`, and the index.
     formed: Vec<(usize, u32)>,
     next_epoch: Epoch,
 }
@@ -72,20 +72,20 @@
             policy,
             now,
             actions: Vec::new(),
-            wanted: Vec::new(),
+            services: Vec::new(),
             free: BTreeMap::new(),
-            bound: BTreeMap::new(),
-            silent: BTreeMap::new(),
+            by_group: BTreeMap::new(),
+            unreachable: BTreeMap::new(),
             loading: 0,
             transactions: 0,
             warming: BTreeMap::new(),
-            wishes: Vec::new(),
+            warmup_requests: Vec::new(),
             formed: Vec::new(),
             next_epoch: view.groups.values().map(|g| g.row.epoch).max().unwrap_or(0) + 1,
         };
         round.index_hosts();
         round.index_warming();
-        round.wanted = round.index_services();
+        round.services = round.index_services();
         round
     }
 
@@ -96,25 +96,28 @@
     }
 
     /// Remembers a group that this round forms, so that it counts and its index is taken.
-    pub(crate) fn note_formed(&mut self, service: usize, row: &GroupRow) {
+    pub(crate) fn record_formed(&mut self, service_index: usize, row: &GroupRow) {
         if row.phase != GroupPhase::Formed {
             return;
         }
         if let Some((_, index)) = parse_group_id(&row.group) {
-            self.formed.push((service, index));
+            self.formed.push((service_index, index));
         }
-        let again = |g: &&mut Group<'_>| g.facts.row.group == row.group;
-        let wanted = &mut self.wanted[service];
-        match wanted.groups.iter_mut().find(again) {
-            Some(group) => group.mending = true,
-            None => wanted.formed_now += 1,
+        let again = |g: &&mut Group<'_>| g.status.row.group == row.group;
+        let state = &mut self.services[service_index];
+        match state.groups.iter_mut().find(again) {
+            Some(group) => group.recovering = true,
+            None => state.formed_this_round += 1,
         }
     }
 
     /// Indexes of the service's groups that this round forms.
-    pub(crate) fn formed_now(&self, service: &str) -> impl Iterator<Item = u32> + use<'_> {
-        let place = self.wanted.iter().position(|w| w.name == service);
-        let formed = self.formed.iter().filter(move |(s, _)| Some(*s) == place);
+    pub(crate) fn formed_this_round(&self, service: &str) -> impl Iterator<Item = u32> + use<'_> {
+        let position = self.services.iter().position(|w| w.name == service);
+        let formed = self
+            .formed
+            .iter()
+            .filter(move |(s, _)| Some(*s) == position);
         formed.map(|(_, index)| *index)
     }
 
@@ -135,14 +138,14 @@
     /// nothing sooner: two groups that share the store are both late, while one
     /// after the other the first is back in half the time.
     pub(crate) fn may_load(&self, count: usize) -> bool {
-        count == 0 || self.loading == 0 || self.loading + count <= self.most_loads()
+        count == 0 || self.loading == 0 || self.loading + count <= self.max_loads()
     }
 
     /// Most hosts that load at once.
-    pub(crate) fn most_loads(&self) -> usize {
-        let fed = self.view.store_rate.checked_div(self.view.host_rate);
-        let fed = fed.map_or(usize::MAX, |fed| fed.max(1) as usize);
-        self.policy.max_loads.min(fed)
+    pub(crate) fn max_loads(&self) -> usize {
+        let sustainable = self.view.store_rate.checked_div(self.view.host_rate);
+        let sustainable = sustainable.map_or(usize::MAX, |sustainable| sustainable.max(1) as usize);
+        self.policy.max_loads.min(sustainable)
     }
 
     /// Whether the host answers, is listed as live and is not leaving.
@@ -155,8 +158,8 @@
 
     /// What kind of absence the silence of a host of this fabric domain belongs to.
     pub(crate) fn failure_scope_in(&self, domain: &FabricDomain) -> FailureScope {
-        let silent = self.silent.get(domain).copied().unwrap_or(0);
-        if silent >= CORRELATED_HOSTS {
+        let unreachable = self.unreachable.get(domain).copied().unwrap_or(0);
+        if unreachable >= CORRELATED_HOSTS {
             FailureScope::Correlated
         } else {
             FailureScope::Isolated
@@ -180,49 +183,49 @@
     /// Whether the group belongs to this region's planner.
     ///
     /// Without this two planners would release each other's groups.
-    pub(crate) fn is_ours(&self, group: &GroupStatus) -> bool {
+    pub(crate) fn is_owned(&self, group: &GroupStatus) -> bool {
         let listed = |id: &HostId| self.view.hosts.get(id).is_some_and(|h| h.entry.is_some());
         self.view.regions.len() <= 1 || group.row.members.iter().any(listed)
     }
 
     fn index_hosts(&mut self) {
-        let mut groups = GroupFinder::new(self.view);
-        let mut together: Option<(&GroupId, Members<'a>)> = None;
+        let mut groups = GroupLookup::new(self.view);
+        let mut run: Option<(&GroupId, Members<'a>)> = None;
         for host in self.view.hosts.values() {
-            let group = groups.of(host);
+            let group = groups.find(host);
             self.next_epoch = self.next_epoch.max(host.row.epoch + 1);
             self.loading += usize::from(self.is_loading(host, group));
             if let Some(name) = &host.row.group {
-                match &mut together {
+                match &mut run {
                     Some((last, members)) if *last == name => members.push(host),
                     _ => {
-                        let done = together.replace((name, SmallVec::from_slice(&[host])));
-                        self.note_bound(done);
+                        let done = run.replace((name, SmallVec::from_slice(&[host])));
+                        self.add_to_group(done);
                     }
                 }
             }
             if let Some(entry) = &host.entry
                 && host.silent_for(self.now) > self.policy.detection_timeout
             {
-                *self.silent.entry(&entry.fabric_domain).or_default() += 1;
+                *self.unreachable.entry(&entry.fabric_domain).or_default() += 1;
             }
-            if let Some(entry) = host.entry.as_ref().filter(|_| self.is_takeable(host)) {
+            if let Some(entry) = host.entry.as_ref().filter(|_| self.is_available(host)) {
                 let free = self.free.entry(&entry.fabric_domain).or_default();
                 free.push(host);
             }
         }
-        self.note_bound(together);
+        self.add_to_group(run);
     }
 
-    fn note_bound(&mut self, together: Option<(&'a GroupId, Members<'a>)>) {
-        if let Some((group, members)) = together {
-            self.bound.entry(group).or_default().extend(members);
+    fn add_to_group(&mut self, run: Option<(&'a GroupId, Members<'a>)>) {
+        if let Some((group, members)) = run {
+            self.by_group.entry(group).or_default().extend(members);
         }
     }
 
     /// The host of a name, from the group's own hosts where possible.
-    fn member(&self, bound: Option<&Members<'a>>, id: &HostId) -> Option<&'a HostStatus> {
-        let own = bound.and_then(|b| b.iter().copied().find(|h| h.row.host == *id));
+    fn member(&self, by_group: Option<&Members<'a>>, id: &HostId) -> Option<&'a HostStatus> {
+        let own = by_group.and_then(|b| b.iter().copied().find(|h| h.row.host == *id));
         own.or_else(|| self.view.hosts.get(id))
     }
 
@@ -250,10 +253,10 @@
 
     /// Whether the host may become a member: its row is free and it says itself that it holds
     /// nothing. A host that came back with an old placement has to leave that first.
-    fn is_takeable(&self, host: &HostStatus) -> bool {
+    fn is_available(&self, host: &HostStatus) -> bool {
         let empty = host.report.as_ref().is_some_and(|r| r.placement.is_none());
-        let quiet = self.may_order(&host.row.host);
-        host.row.group.is_none() && empty && quiet && self.is_healthy(host)
+        let orderable = self.may_order(&host.row.host);
+        host.row.group.is_none() && empty && orderable && self.is_healthy(host)
     }
 
     /// Whether the host may be ordered: one that doesn't check fencing numbers only when no
@@ -262,59 +265,59 @@
         self.now >= self.view.quiet_until || self.view.config.checks_orders(host)
     }
 
-    fn index_services(&self) -> Vec<Wanted<'a>> {
+    fn index_services(&self) -> Vec<ServiceState<'a>> {
         let mut groups: BTreeMap<&str, Vec<&'a GroupStatus>> = BTreeMap::new();
         for group in self.view.groups.values() {
-            if parse_group_id(&group.row.group).is_some() && self.is_ours(group) {
+            if parse_group_id(&group.row.group).is_some() && self.is_owned(group) {
                 groups.entry(&group.row.service).or_default().push(group);
             }
         }
-        let mut wanted = Vec::new();
+        let mut states = Vec::new();
         for service in self.view.config.services.values() {
             let ServiceKind::Model(cfg) = &service.kind else {
                 continue;
             };
-            let mine = groups.remove(service.name.as_str()).unwrap_or_default();
+            let owned = groups.remove(service.name.as_str()).unwrap_or_default();
             let weights = weights_name(&cfg.model, &cfg.version);
             let bytes = self.view.weights.get(&weights).copied().unwrap_or(0);
             let demand = self.view.demand.get(&service.name).copied().unwrap_or(0);
-            wanted.push(Wanted {
+            states.push(ServiceState {
                 name: &service.name,
                 cfg,
-                count: self.share_of(cfg.groups),
-                need: demand.max(cfg.floor) as usize,
+                desired: self.region_share(cfg.groups),
+                required: demand.max(cfg.floor) as usize,
                 weights,
                 load_bytes: bytes / u64::from(cfg.hosts_per_group.max(1)),
-                groups: mine.into_iter().map(|g| self.index_group(g)).collect(),
-                formed_now: 0,
+                groups: owned.into_iter().map(|g| self.index_group(g)).collect(),
+                formed_this_round: 0,
             });
         }
-        wanted
+        states
     }
 
     /// Groups of a service that this region is to have: index I belongs to the region that
     /// is I-th in order, counted round.
-    fn share_of(&self, groups: u32) -> usize {
+    fn region_share(&self, groups: u32) -> usize {
         let regions = self.view.regions.len().max(1);
-        let own = self.region_number();
+        let own = self.region_index();
         (0..groups as usize).filter(|i| i % regions == own).count()
     }
 
     /// Place of this region among all.
-    pub(crate) fn region_number(&self) -> usize {
+    pub(crate) fn region_index(&self) -> usize {
         let mut regions = self.view.regions.iter();
         let found = regions.position(|r| *r == self.view.region);
         found.unwrap_or(0)
     }
 
-    fn index_group(&self, facts: &'a GroupStatus) -> Group<'a> {
-        let mut lost = SmallVec::new();
+    fn index_group(&self, status: &'a GroupStatus) -> Group<'a> {
+        let mut faults = SmallVec::new();
         let mut domains: SmallVec<[&FabricDomain; 2]> = SmallVec::new();
-        let bound = self.bound.get(&facts.row.group);
-        for id in &facts.row.members {
-            let host = self.member(bound, id);
-            if let Some(why) = self.lost(facts, id, host) {
-                lost.push((id, why));
+        let by_group = self.by_group.get(&status.row.group);
+        for id in &status.row.members {
+            let host = self.member(by_group, id);
+            if let Some(fault) = self.member_fault(status, id, host) {
+                faults.push((id, fault));
             }
             if let Some(entry) = host.and_then(|h| h.entry.as_ref())
                 && !domains.contains(&&entry.fabric_domain)
@@ -322,36 +325,47 @@
                 domains.push(&entry.fabric_domain);
             }
         }
-        let away = lost.iter().any(|(_, why)| *why != Lost::Leaving);
-        let standing = match facts.row.phase {
-            GroupPhase::Ending => Standing::Ending,
-            _ if facts.serving => Standing::Serving,
-            _ if away => Standing::Broken,
-            _ => Standing::Coming,
+        let has_fault = faults
+            .iter()
+            .any(|(_, fault)| *fault != MemberFault::Leaving);
+        let health = match status.row.phase {
+            GroupPhase::Ending => GroupHealth::Ending,
+            _ if status.serving => GroupHealth::Serving,
+            _ if has_fault => GroupHealth::Broken,
+            _ => GroupHealth::Starting,
         };
         Group {
-            facts,
+            status,
             domain: (domains.len() == 1).then(|| domains[0]),
-            standing,
-            known: self.now.saturating_duration_since(facts.up_since)
+            health,
+            propagated: self.now.saturating_duration_since(status.up_since)
                 >= self.policy.propagation_delay,
-            lost,
-            ended_now: false,
-            mending: false,
+            faults,
+            ended_this_round: false,
+            recovering: false,
         }
     }
 
-    fn lost(&self, group: &GroupStatus, id: &HostId, host: Option<&HostStatus>) -> Option<Lost> {
+    fn member_fault(
+        &self,
+        group: &GroupStatus,
+        id: &HostId,
+        host: Option<&HostStatus>,
+    ) -> Option<MemberFault> {
         let Some(host) = host else {
-            return Some(Lost::Gone);
+            return Some(MemberFault::Delisted);
         };
         if host.silent_for(self.now) > self.policy.detection_timeout {
             let gone = host.entry.is_none();
-            return Some(if gone { Lost::Gone } else { Lost::Silent });
+            return Some(if gone {
+                MemberFault::Delisted
+            } else {
+                MemberFault::Unreachable
+            });
         }
         if group.restarted.as_ref() == Some(id) {
-            return Some(Lost::Restarted);
+            return Some(MemberFault::Restarted);
         }
-        (host.is_leaving() || host.entry.is_none()).then_some(Lost::Leaving)
+        (host.is_leaving() || host.entry.is_none()).then_some(MemberFault::Leaving)
     }
 }
--- a/crates/group/src/plan/warm.rs
+++ b/crates/group/src/plan/warm.rs
@@ -2,7 +2,7 @@
 
 use eelgrassmill_base::FabricDomain;
 
-use crate::plan::form::{NewGroup, form};
+use crate::plan::form::{NewGroup, form_group};
 use crate::plan::policy::RepairStrategy;
 use crate::plan::round::Round;
 use crate::plan::view::HostStatus;
@@ -14,10 +14,10 @@
     if round.policy.strategy != RepairStrategy::CostBased {
         return;
     }
-    for (service, host) in std::mem::take(&mut round.wishes) {
-        warm(round, service, host);
+    for (service_index, host) in std::mem::take(&mut round.warmup_requests) {
+        warm(round, service_index, host);
     }
-    if round.wanted.iter().any(|w| w.serving() < w.count) {
+    if round.services.iter().any(|w| w.serving() < w.desired) {
         return;
     }
     let domains: Vec<&FabricDomain> = round.free.keys().copied().collect();
@@ -31,37 +31,41 @@
 /// Idle loading takes half of the bound at most: a repair that comes meanwhile
 /// finds the store free enough.
 fn warm_idle(round: &mut Round<'_>, domain: &FabricDomain) {
-    if round.loading >= round.most_loads().div_ceil(2) {
+    if round.loading >= round.max_loads().div_ceil(2) {
         return;
     }
     let free: Vec<&HostStatus> = round.free.get(domain).cloned().unwrap_or_default();
-    let is_useful = |h: &HostStatus| round.wanted.iter().any(|w| h.is_warm(&w.weights));
+    let is_useful = |h: &HostStatus| round.services.iter().any(|w| h.is_warm(&w.weights));
     let Some(host) = free.iter().copied().find(|h| !is_useful(h)) else {
         return;
     };
-    if let Some(service) = least_covered(round, domain, &free) {
-        warm(round, service, host);
+    if let Some(service_index) = least_covered(round, domain, &free) {
+        warm(round, service_index, host);
     }
 }
 
 /// The service with the most members in the domain for each spare that is warm for it.
 fn least_covered(round: &Round<'_>, domain: &FabricDomain, free: &[&HostStatus]) -> Option<usize> {
-    let cover = |wanted: &crate::plan::group::Wanted<'_>| {
-        let groups = wanted.groups.iter().filter(|g| g.is_formed());
+    let members_per_spare = |service: &crate::plan::group::ServiceState<'_>| {
+        let groups = service.groups.iter().filter(|g| g.is_formed());
         let here = groups.filter(|g| g.domain == Some(domain)).count();
-        let warm = free.iter().filter(|h| h.is_warm(&wanted.weights)).count();
-        let loading = round.warming.get(&(wanted.name.as_str(), domain));
+        let warm = free.iter().filter(|h| h.is_warm(&service.weights)).count();
+        let loading = round.warming.get(&(service.name.as_str(), domain));
         let spares = warm + loading.copied().unwrap_or(0);
         here * 1000 / (spares + 1)
     };
-    let scored = round.wanted.iter().enumerate().map(|(i, w)| (cover(w), i));
+    let scored = round
+        .services
+        .iter()
+        .enumerate()
+        .map(|(i, w)| (members_per_spare(w), i));
     let best = scored.filter(|(score, _)| *score > 0);
     best.max_by_key(|(score, i)| (*score, std::cmp::Reverse(*i)))
         .map(|(_, i)| i)
 }
 
-fn warm(round: &mut Round<'_>, service: usize, host: &HostStatus) {
-    let group = warming_group_id(round.wanted[service].name, &host.row.host);
+fn warm(round: &mut Round<'_>, service_index: usize, host: &HostStatus) {
+    let group = warming_group_id(round.services[service_index].name, &host.row.host);
     // A row of an earlier warming is removed first.
     if round.view.groups.contains_key(&group) {
         return;
@@ -72,5 +76,5 @@
         phase: GroupPhase::Warming,
         members: vec![host],
     };
-    form(round, service, new);
+    form_group(round, service_index, new);
 }
