--- a/crates/group/src/evidence/age.rs
+++ b/crates/group/src/evidence/age.rs
@@ -1,4 +1,4 @@
-//! How old a message is that crossed the network, without a common clock.
+//! Message age across the network without synchronized clocks.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,31 +8,29 @@
 #[derive(Clone, Copy, Debug)]
 struct Offset {
     incarnation: Incarnation,
-    /// Receiver's instant that matches the sender's start, at the quickest delivery so far.
+    /// The sender's start on the receiver's clock, according to the fastest delivery so far.
     start: Instant,
 }
 
-/// Finds out how late messages of each sender arrive.
+/// Estimates the delivery delay of each sender's messages.
 ///
-/// A message may wait in a buffer while a link is cut or a process is paused;
-/// its age when it was sent would then make old evidence look fresh. Each
-/// message carries the sender's time since its start. The quickest delivery so
-/// far gives the offset between the two clocks, and what a later message takes
-/// beyond it is added to its age. What stays unseen is the quickest delivery
-/// itself, which is a network round trip at most, and a first message that is late.
+/// A message may sit in a buffer while a link is down or a process is paused; its age at sending
+/// would then make old evidence look fresh. Each message carries the sender's uptime. The fastest
+/// delivery so far gives the offset between the two clocks, and any additional delay of a later
+/// message is added to its age. Not detected are the delay of the fastest delivery itself, at
+/// most a network round trip, and a delayed first message.
 #[derive(Clone, Debug, Default)]
 pub struct AgeEstimator {
     offsets: BTreeMap<NodeId, Offset>,
 }
 
 impl AgeEstimator {
-    /// Knows no sender yet.
+    /// Creates an estimator without senders.
     pub fn new() -> AgeEstimator {
         AgeEstimator::default()
     }
 
-    /// Age at `now` of something that was `age` old when `sender` sent it, `uptime` after
-    /// its start.
+    /// Age at `now` of information that was `age` old when `sender` sent it, at its `uptime`.
     pub fn age_at_receipt(
         &mut self,
         sender: &NodeId,
@@ -52,7 +50,7 @@
         age + start.saturating_duration_since(offset.start)
     }
 
-    /// Forgets a sender that is gone.
+    /// Removes a sender that has left.
     pub fn forget(&mut self, sender: &str) {
         self.offsets.remove(sender);
     }
--- a/crates/group/src/evidence/mod.rs
+++ b/crates/group/src/evidence/mod.rs
@@ -1,13 +1,13 @@
-//! Wholeness: who watches a group, what a watcher finds, and what that lets a node serve.
+//! Group health: which nodes watch a group, their verdicts, and whether a node may serve it.
 
 mod age;
-mod depend;
+mod dependency;
 mod store;
 mod verdict;
 mod watch;
 
 pub use crate::evidence::age::AgeEstimator;
-pub use crate::evidence::depend::{ServiceUnavailable, can_serve};
+pub use crate::evidence::dependency::{ServiceUnavailable, can_serve};
 pub use crate::evidence::store::{
     EVIDENCE_MAX_AGE, Evidence, EvidenceStore, GroupEndpoint, NotServing, RESTART_RETENTION,
     SILENCE_GRACE,
--- a/crates/group/src/evidence/store.rs
+++ b/crates/group/src/evidence/store.rs
@@ -1,4 +1,4 @@
-//! What a node knows of each group's wholeness, and whether it may serve.
+//! A node's evidence about each group, and whether the group may serve.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -10,58 +10,58 @@
 use crate::evidence::watch::MAX_WATCHERS;
 use crate::rows::{GroupPhase, GroupRow};
 
-/// Evidence older than this doesn't serve.
+/// Maximum age of evidence on which a group may serve.
 pub const EVIDENCE_MAX_AGE: Duration = Duration::from_secs(2);
-/// A watcher's silence about a host doesn't count against an answer that another watcher
-/// got at most this much earlier: a cut between one watcher and a host is not the host's fault.
+/// A watcher that gets no reply from a host is ignored if another watcher got one at most this
+/// much earlier: the network may be partitioned between one watcher and the host.
 pub const SILENCE_GRACE: Duration = Duration::from_millis(700);
-/// How long a watcher that has gone silent is believed about a member's restart.
+/// How long a member's restart is remembered after the watcher that reported it went silent.
 pub const RESTART_RETENTION: Duration = Duration::from_secs(30);
-/// Watchers remembered for each group; above [`MAX_WATCHERS`], since nodes disagree for a
-/// while about who watches.
-const REMEMBERED_WATCHERS: usize = 2 * MAX_WATCHERS;
+/// Findings kept for each group; more than [`MAX_WATCHERS`], since nodes may temporarily
+/// disagree on the watchers.
+const MAX_FINDINGS: usize = 2 * MAX_WATCHERS;
 
 value! { wire
-    /// What a watcher pushes to the nodes that route to a group.
+    /// A finding that a watcher sends to the nodes that route to a group.
     pub struct Evidence {
         /// The watcher.
         pub watcher: NodeId,
-        /// The watcher's start.
+        /// The watcher's incarnation.
         pub incarnation: Incarnation,
-        /// Counts this watcher's messages. Invariant: rises within one incarnation.
+        /// Message number. Invariant: increases within one incarnation of the watcher.
         pub sequence: u64,
         /// The group.
         pub group: GroupId,
-        /// The epoch that was judged.
+        /// The epoch that was evaluated.
         pub epoch: Epoch,
         /// The member that requests are sent to.
         pub lead: HostId,
-        /// The finding.
+        /// The verdict.
         pub verdict: Verdict,
-        /// Age of the finding at receipt, counted from the oldest probe it rests on and
-        /// including the way; see [`crate::AgeEstimator`].
+        /// Age of the verdict at receipt, counted from the oldest probe behind it and
+        /// including the delivery delay; see [`crate::AgeEstimator`].
         pub age: Duration,
     }
 
-    /// How a group may be served.
+    /// Where to send a group's requests.
     pub struct GroupEndpoint {
-        /// The epoch to name in requests.
+        /// The epoch to put into requests.
         pub epoch: Epoch,
         /// The member to send them to.
         pub lead: HostId,
     }
 }
 
-/// Why a group may not be served.
+/// Why a group must not receive requests.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotServing {
-    /// Nothing is known of the group.
+    /// The group is not known.
     #[error("group is not known")]
     Unknown,
-    /// Its row says that it ends.
+    /// According to its row it is ending.
     #[error("group is ending")]
     Ending,
-    /// No watcher has said anything about this epoch.
+    /// No watcher has reported on this epoch.
     #[error("no evidence for epoch {epoch}")]
     NoEvidence {
         /// The newest epoch known.
@@ -73,17 +73,17 @@
         /// Its age.
         age: Duration,
     },
-    /// A member is not there.
+    /// A member is missing.
     #[error("host {host} is missing: {reason:?}")]
     Missing {
         /// The member.
         host: HostId,
-        /// Why it doesn't count.
+        /// Why it counts as missing.
         reason: MissingReason,
     },
 }
 
-/// A restart of a member after its group had been whole.
+/// A restart of a member after its group was whole.
 #[derive(Clone, Debug)]
 struct Restart {
     watcher: NodeId,
@@ -93,164 +93,173 @@
 
 /// The newest message of one watcher.
 #[derive(Clone, Debug)]
-struct Heard {
+struct Finding {
     watcher: NodeId,
     incarnation: Incarnation,
     sequence: u64,
-    /// When the finding was made, on this node's clock.
+    /// When the verdict held, on this node's clock.
     at: Instant,
     verdict: Verdict,
 }
 
 #[derive(Clone, Debug)]
-struct Known {
-    /// Invariant: never falls.
+struct GroupRecord {
+    /// Invariant: never decreases.
     epoch: Epoch,
     lead: HostId,
-    /// Invariant: once set, stays for this epoch.
+    /// Invariant: never cleared within an epoch.
     ending: bool,
-    /// The member that restarted after this epoch had been whole, and who said so.
+    /// The member that restarted after this epoch was whole, and the watcher that reported it.
     ///
-    /// The other members hold connections and cache of a process that is gone,
-    /// so another watcher's "whole" doesn't lift it: that watcher may have begun
-    /// after the restart. The planner, which is told too, ends the epoch. Should
-    /// the planner miss it, the record is lifted when the watcher that made it
-    /// says otherwise or has been silent for [`RESTART_RETENTION`]; else the group
-    /// would stay out of service for ever, as nobody else knows why.
+    /// The other members hold connections and cache of a process that no longer exists, so a
+    /// "whole" verdict of another watcher, which may have started after the restart, doesn't
+    /// clear it. The planner also receives the report and ends the epoch. If the planner misses
+    /// it, the restart is cleared once the reporting watcher retracts it or has been silent for
+    /// [`RESTART_RETENTION`]; otherwise the group would stay out of service indefinitely.
     restarted: Option<Restart>,
-    heard: SmallVec<[Heard; REMEMBERED_WATCHERS]>,
+    findings: SmallVec<[Finding; MAX_FINDINGS]>,
 }
 
-/// What a node knows of each group's wholeness.
+/// A node's evidence about each group.
 #[derive(Clone, Debug, Default)]
 pub struct EvidenceStore {
-    groups: BTreeMap<GroupId, Known>,
+    groups: BTreeMap<GroupId, GroupRecord>,
 }
 
 impl EvidenceStore {
-    /// Knows no group yet.
+    /// Creates an empty store.
     pub fn new() -> EvidenceStore {
         EvidenceStore::default()
     }
 
-    /// Takes a reading of a group's row; an older epoch than the one known changes nothing.
+    /// Updates a group from its row; an epoch older than the known one is ignored.
     pub fn on_row(&mut self, row: &GroupRow) {
         let Some(lead) = row.lead() else {
             return;
         };
-        let known = self.at_epoch(&row.group, row.epoch, lead);
-        if let Some(known) = known {
-            known.ending |= row.phase != GroupPhase::Formed;
+        let record = self.at_epoch(&row.group, row.epoch, lead);
+        if let Some(record) = record {
+            record.ending |= row.phase != GroupPhase::Formed;
         }
     }
 
-    /// Forgets a group whose row is gone.
+    /// Removes a group whose row was deleted.
     pub fn forget(&mut self, group: &str) {
         self.groups.remove(group);
     }
 
-    /// Takes a watcher's message that arrived at `now`; whether it was news.
+    /// Records a watcher's message that arrived at `now`; returns whether it was accepted.
     ///
-    /// Dropped are an older epoch, an older start of the watcher, and a message
-    /// overtaken by a later one of the same watcher: none of them may bring
-    /// back a group that has stopped.
+    /// Messages of an older epoch or an older incarnation of the watcher, and messages overtaken
+    /// by a later one of the same watcher, are dropped: none of them may return a stopped group to
+    /// service.
     pub fn on_evidence(&mut self, evidence: &Evidence, now: Instant) -> bool {
-        let Some(known) = self.at_epoch(&evidence.group, evidence.epoch, &evidence.lead) else {
+        let Some(record) = self.at_epoch(&evidence.group, evidence.epoch, &evidence.lead) else {
             return false;
         };
         let Some(at) = now.checked_sub(evidence.age) else {
             return false;
         };
-        if !known.hear(evidence, at) {
+        if !record.record_finding(evidence, at) {
             return false;
         }
-        known.ending |= evidence.verdict == Verdict::Ending;
-        known.note_restart(evidence, at);
+        record.ending |= evidence.verdict == Verdict::Ending;
+        record.record_restart(evidence, at);
         true
     }
 
-    /// Whether the group may be served at `now`, and as what.
+    /// Where to send the group's requests at `now`.
     ///
     /// # Errors
-    /// Says why not.
+    /// Returns why the group must not receive requests.
     pub fn serving(&self, group: &str, now: Instant) -> Result<GroupEndpoint, NotServing> {
-        let known = self.groups.get(group).ok_or(NotServing::Unknown)?;
-        known.may_serve(now)?;
+        let record = self.groups.get(group).ok_or(NotServing::Unknown)?;
+        record.check_serving(now)?;
         Ok(GroupEndpoint {
-            epoch: known.epoch,
-            lead: known.lead.clone(),
+            epoch: record.epoch,
+            lead: record.lead.clone(),
         })
     }
 
-    /// The member of the group's newest epoch that restarted after it had been whole.
+    /// The member that restarted after the group was whole, if `epoch` is the newest known.
     pub fn restarted(&self, group: &str, epoch: Epoch) -> Option<&HostId> {
-        let known = self.groups.get(group)?;
-        let restart = known.restarted.as_ref().filter(|_| known.epoch == epoch);
+        let record = self.groups.get(group)?;
+        let restart = record.restarted.as_ref().filter(|_| record.epoch == epoch);
         restart.map(|r| &r.host)
     }
 
-    /// The newest epoch known of a group.
+    /// The newest known epoch of a group.
     pub fn epoch(&self, group: &str) -> Option<Epoch> {
-        self.groups.get(group).map(|known| known.epoch)
+        self.groups.get(group).map(|record| record.epoch)
     }
 
-    /// Names of all groups known.
+    /// Names of all known groups.
     pub fn groups(&self) -> impl Iterator<Item = &GroupId> {
         self.groups.keys()
     }
 
-    /// The group as of `epoch`, made or raised to it; `None` when a later epoch is known.
-    fn at_epoch(&mut self, group: &GroupId, epoch: Epoch, lead: &HostId) -> Option<&mut Known> {
-        let known = self
+    /// The record of the group at `epoch`, created or reset if needed; `None` if a later epoch is
+    /// known.
+    fn at_epoch(
+        &mut self,
+        group: &GroupId,
+        epoch: Epoch,
+        lead: &HostId,
+    ) -> Option<&mut GroupRecord> {
+        let record = self
             .groups
             .entry(group.clone())
-            .or_insert_with(|| Known::new(epoch, lead));
-        if known.epoch > epoch {
+            .or_insert_with(|| GroupRecord::new(epoch, lead));
+        if record.epoch > epoch {
             return None;
         }
-        if known.epoch < epoch {
-            *known = Known::new(epoch, lead);
+        if record.epoch < epoch {
+            *record = GroupRecord::new(epoch, lead);
         }
-        Some(known)
+        Some(record)
     }
 }
 
-impl Known {
-    fn new(epoch: Epoch, lead: &HostId) -> Known {
-        Known {
+impl GroupRecord {
+    fn new(epoch: Epoch, lead: &HostId) -> GroupRecord {
+        GroupRecord {
             epoch,
             lead: lead.clone(),
             ending: false,
             restarted: None,
-            heard: SmallVec::new(),
+            findings: SmallVec::new(),
         }
     }
 
-    /// Remembers a message unless a later one of the same watcher is known.
-    fn hear(&mut self, evidence: &Evidence, at: Instant) -> bool {
-        let heard = Heard {
+    /// Stores a message unless a later one of the same watcher is known.
+    fn record_finding(&mut self, evidence: &Evidence, at: Instant) -> bool {
+        let finding = Finding {
             watcher: evidence.watcher.clone(),
             incarnation: evidence.incarnation,
             sequence: evidence.sequence,
             at,
             verdict: evidence.verdict.clone(),
         };
-        let order = |h: &Heard| (h.incarnation, h.sequence);
-        if let Some(old) = self.heard.iter_mut().find(|h| h.watcher == heard.watcher) {
-            if order(old) >= order(&heard) {
+        let position = |f: &Finding| (f.incarnation, f.sequence);
+        if let Some(old) = self
+            .findings
+            .iter_mut()
+            .find(|f| f.watcher == finding.watcher)
+        {
+            if position(old) >= position(&finding) {
                 return false;
             }
-            *old = heard;
+            *old = finding;
             return true;
         }
-        if self.heard.len() == REMEMBERED_WATCHERS {
+        if self.findings.len() == MAX_FINDINGS {
             self.drop_oldest();
         }
-        self.heard.push(heard);
+        self.findings.push(finding);
         true
     }
 
-    fn note_restart(&mut self, evidence: &Evidence, at: Instant) {
+    fn record_restart(&mut self, evidence: &Evidence, at: Instant) {
         match &evidence.verdict {
             Verdict::Missing {
                 host,
@@ -263,8 +272,8 @@
                 });
             }
             Verdict::Whole => {
-                let same = |r: &Restart| r.watcher == evidence.watcher;
-                if self.restarted.as_ref().is_some_and(same) {
+                let same_watcher = |r: &Restart| r.watcher == evidence.watcher;
+                if self.restarted.as_ref().is_some_and(same_watcher) {
                     self.restarted = None;
                 }
             }
@@ -273,13 +282,13 @@
     }
 
     fn drop_oldest(&mut self) {
-        let oldest = self.heard.iter().enumerate().min_by_key(|(_, h)| h.at);
+        let oldest = self.findings.iter().enumerate().min_by_key(|(_, f)| f.at);
         if let Some(index) = oldest.map(|(index, _)| index) {
-            self.heard.remove(index);
+            self.findings.remove(index);
         }
     }
 
-    fn may_serve(&self, now: Instant) -> Result<(), NotServing> {
+    fn check_serving(&self, now: Instant) -> Result<(), NotServing> {
         if self.ending {
             return Err(NotServing::Ending);
         }
@@ -291,7 +300,7 @@
             });
         }
         let whole = self.newest_whole();
-        self.contradiction(whole, now)?;
+        self.check_missing(whole, now)?;
         let epoch = self.epoch;
         let at = whole.ok_or(NotServing::NoEvidence { epoch })?;
         let age = now.saturating_duration_since(at);
@@ -302,14 +311,14 @@
     }
 
     fn newest_whole(&self) -> Option<Instant> {
-        let whole = self.heard.iter().filter(|h| h.verdict == Verdict::Whole);
-        whole.map(|h| h.at).max()
+        let whole = self.findings.iter().filter(|f| f.verdict == Verdict::Whole);
+        whole.map(|f| f.at).max()
     }
 
-    /// An error when a credible finding newer than `whole` says that a member is missing.
-    fn contradiction(&self, whole: Option<Instant>, now: Instant) -> Result<(), NotServing> {
-        for heard in &self.heard {
-            let Verdict::Missing { host, reason } = &heard.verdict else {
+    /// Returns an error if a recent finding newer than `whole` says that a member is missing.
+    fn check_missing(&self, whole: Option<Instant>, now: Instant) -> Result<(), NotServing> {
+        for finding in &self.findings {
+            let Verdict::Missing { host, reason } = &finding.verdict else {
                 continue;
             };
             let grace = if reason.is_positive() {
@@ -317,9 +326,9 @@
             } else {
                 SILENCE_GRACE
             };
-            // A watcher that has gone quiet itself no longer speaks for the host.
-            let fresh = now.saturating_duration_since(heard.at) <= EVIDENCE_MAX_AGE;
-            let newer = whole.is_none_or(|whole| heard.at > whole + grace);
+            // Findings of a watcher that has itself become silent are ignored.
+            let fresh = now.saturating_duration_since(finding.at) <= EVIDENCE_MAX_AGE;
+            let newer = whole.is_none_or(|whole| finding.at > whole + grace);
             if fresh && newer {
                 return Err(NotServing::Missing {
                     host: host.clone(),
--- a/crates/group/src/evidence/verdict.rs
+++ b/crates/group/src/evidence/verdict.rs
@@ -1,4 +1,4 @@
-//! What a watcher finds about one group.
+//! A watcher's verdict about one group.
 
 use std::time::{Duration, Instant};
 
@@ -6,17 +6,17 @@
 
 use crate::rows::{GroupPhase, GroupRow};
 
-/// Age, counted from when the probe was sent, beyond which a report says nothing.
+/// Age, counted from when the probe was sent, beyond which a report is ignored.
 pub const REPORT_MAX_AGE: Duration = Duration::from_millis(1500);
 
 value! { wire copy
-    /// Why a member doesn't count as there.
+    /// Why a member counts as missing.
     pub enum MissingReason {
-        /// No fresh report of it has arrived.
+        /// No recent report from it.
         Silent,
-        /// It restarted after the group had been whole.
+        /// It restarted after the group was whole.
         Restarted,
-        /// It says that it belongs elsewhere, or to another epoch, version or member list.
+        /// It reports another group, epoch, model version or member list.
         Elsewhere,
         /// It has not loaded the model yet.
         NotReady,
@@ -24,32 +24,32 @@
 }
 
 value! { wire
-    /// What a watcher finds about one group.
+    /// A watcher's verdict about one group.
     pub enum Verdict {
-        /// Every member is there.
+        /// Every member is present and ready.
         Whole,
-        /// One member is not; the first in member order with the gravest cause.
+        /// A member is missing: the first in member order with the most severe reason.
         Missing {
             /// The member.
             host: HostId,
-            /// Why it doesn't count.
+            /// Why it counts as missing.
             #[serde(rename = "why")]
             reason: MissingReason,
         },
-        /// The group's row says that it is not for serving: it ends, or it only loads.
+        /// According to its row the group doesn't serve: it is ending or only loads weights.
         Ending,
     }
 }
 
 impl MissingReason {
-    /// Whether the cause was reported by the host itself and not inferred from silence.
+    /// Whether the host itself reported the reason, rather than it being inferred from silence.
     pub fn is_positive(self) -> bool {
         self != MissingReason::Silent
     }
 }
 
-/// Whether `report` is that of a member of the group as `row` says now.
-pub(crate) fn fits(row: &GroupRow, report: &HostReport) -> bool {
+/// Whether `report` shows the placement that `row` requires.
+pub(crate) fn matches_row(row: &GroupRow, report: &HostReport) -> bool {
     let Some(placement) = &report.placement else {
         return false;
     };
@@ -60,48 +60,48 @@
         && placement.members == row.members
 }
 
-/// What one report says of a member; `whole_as` is its incarnation when the group was whole.
-pub(crate) fn fault(
+/// Why a report shows the member as missing, if it does; `bound_incarnation` is the member's
+/// incarnation when the group was first whole.
+pub(crate) fn member_problem(
     row: &GroupRow,
     report: &HostReport,
-    whole_as: Option<Incarnation>,
+    bound_incarnation: Option<Incarnation>,
 ) -> Option<MissingReason> {
-    if whole_as.is_some_and(|known| known != report.incarnation) {
+    if bound_incarnation.is_some_and(|known| known != report.incarnation) {
         return Some(MissingReason::Restarted);
     }
-    if !fits(row, report) {
+    if !matches_row(row, report) {
         return Some(MissingReason::Elsewhere);
     }
     (!report.ready).then_some(MissingReason::NotReady)
 }
 
-/// Judges one group from the newest report of each member and when its probe was sent.
+/// Evaluates one group from each member's newest report and the time its probe was sent.
 ///
-/// `reports` and `whole_as` go in member order; `whole_as` holds the
-/// incarnations that the members had when the group was found whole, and is
-/// empty before that.
+/// `reports` and `bound_incarnations` are in member order; `bound_incarnations` holds the
+/// members' incarnations when the group was first whole, and is empty before that.
 pub fn evaluate<'a>(
     row: &GroupRow,
     reports: impl IntoIterator<Item = Option<(&'a HostReport, Instant)>>,
-    whole_as: &[Incarnation],
+    bound_incarnations: &[Incarnation],
     now: Instant,
 ) -> Verdict {
     if row.phase != GroupPhase::Formed {
         return Verdict::Ending;
     }
     let mut reports = reports.into_iter();
-    let mut worst: Option<(MissingReason, &HostId)> = None;
+    let mut most_severe: Option<(MissingReason, &HostId)> = None;
     for (index, host) in row.members.iter().enumerate() {
-        let known = whole_as.get(index).copied();
+        let bound = bound_incarnations.get(index).copied();
         let reason = match reports.next().flatten() {
             Some((report, sent)) if report.host == *host => {
-                aged(sent, now).or_else(|| fault(row, report, known))
+                check_age(sent, now).or_else(|| member_problem(row, report, bound))
             }
             _ => Some(MissingReason::Silent),
         };
-        worst = graver(worst, reason.map(|reason| (reason, host)));
+        most_severe = more_severe(most_severe, reason.map(|reason| (reason, host)));
     }
-    match worst {
+    match most_severe {
         None => Verdict::Whole,
         Some((reason, host)) => Verdict::Missing {
             host: host.clone(),
@@ -110,25 +110,25 @@
     }
 }
 
-/// [`MissingReason::Silent`] when a report whose probe was sent at `sent` is too old.
-pub(crate) fn aged(sent: Instant, now: Instant) -> Option<MissingReason> {
+/// [`MissingReason::Silent`] if a report whose probe was sent at `sent` is too old.
+pub(crate) fn check_age(sent: Instant, now: Instant) -> Option<MissingReason> {
     (now.saturating_duration_since(sent) > REPORT_MAX_AGE).then_some(MissingReason::Silent)
 }
 
-/// The graver finding, the earlier one of equals: a restart can't be mended by waiting,
-/// a wrong placement needs an order, silence may pass, loading ends by itself.
-pub(crate) fn graver<H>(
+/// The more severe problem, or the first if equal: a restart needs a new epoch, a wrong
+/// placement needs an order, silence may be temporary, and loading completes by itself.
+pub(crate) fn more_severe<H>(
     a: Option<(MissingReason, H)>,
     b: Option<(MissingReason, H)>,
 ) -> Option<(MissingReason, H)> {
     match (a, b) {
-        (Some(a), Some(b)) if weight(b.0) > weight(a.0) => Some(b),
+        (Some(a), Some(b)) if severity(b.0) > severity(a.0) => Some(b),
         (Some(a), _) => Some(a),
         (None, b) => b,
     }
 }
 
-fn weight(reason: MissingReason) -> u8 {
+fn severity(reason: MissingReason) -> u8 {
     match reason {
         MissingReason::Restarted => 3,
         MissingReason::Elsewhere => 2,
--- a/crates/group/src/evidence/watch.rs
+++ b/crates/group/src/evidence/watch.rs
@@ -1,23 +1,24 @@
-//! Who watches a group, and one watcher's running findings about it.
+//! Watcher selection, and one watcher's view of a group.
 
 use std::time::Instant;
 
 use eelgrassmill_base::{HostId, HostReport, Incarnation, NodeId, rendezvous};
 use smallvec::SmallVec;
 
-use crate::evidence::verdict::{MissingReason, Verdict, aged, fault, graver};
+use crate::evidence::verdict::{MissingReason, Verdict, check_age, member_problem, more_severe};
 use crate::rows::{GroupPhase, GroupRow, NodeRow, NodeState};
 
-/// Most watchers of one group.
+/// Maximum number of watchers of one group.
 pub const MAX_WATCHERS: usize = 3;
 
-/// Watchers of one group, the best first.
+/// Watchers of one group, highest ranked first.
 pub type WatcherList = SmallVec<[NodeId; MAX_WATCHERS]>;
 
-/// The nodes that watch `group`: the first by rendezvous hashing in different failure domains.
+/// The nodes that watch `group`: the highest ranked by rendezvous hashing, in different failure
+/// domains.
 ///
-/// Nodes that are leaving don't watch. Where there are fewer failure domains
-/// than watchers wanted, the rest come from those that have one already.
+/// Leaving nodes are excluded. If there are fewer failure domains than [`MAX_WATCHERS`], the
+/// remaining watchers come from domains that already have one.
 pub fn watchers<'a>(group: &str, nodes: impl IntoIterator<Item = &'a NodeRow>) -> WatcherList {
     let candidates: Vec<Candidate<'a>> = nodes
         .into_iter()
@@ -53,28 +54,28 @@
     }
 }
 
-/// What a watcher keeps of one member.
+/// A watcher's state of one member.
 #[derive(Clone, Debug)]
 struct Member {
     host: HostId,
-    /// Incarnation that it had when the group was found whole.
-    whole_as: Option<Incarnation>,
-    last: Option<Seen>,
+    /// Its incarnation when the group was first whole.
+    bound_incarnation: Option<Incarnation>,
+    last: Option<LatestReport>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Seen {
-    /// When the probe was sent that the report answers.
+struct LatestReport {
+    /// When the probe was sent.
     sent: Instant,
     incarnation: Incarnation,
-    /// What the report says against the member.
-    fault: Option<MissingReason>,
+    /// Why the report shows the member as missing, if it does.
+    member_problem: Option<MissingReason>,
 }
 
-/// One watcher's running findings about one epoch of a group.
+/// One watcher's view of one epoch of a group.
 ///
-/// A report costs one comparison with the row, a verdict one pass over the
-/// members; neither depends on how many groups there are.
+/// A report costs one comparison with the row and a verdict one pass over the members; neither
+/// depends on the number of groups.
 #[derive(Clone, Debug)]
 pub struct GroupWatch {
     row: GroupRow,
@@ -82,11 +83,11 @@
 }
 
 impl GroupWatch {
-    /// Starts watching the group as `row` says.
+    /// Starts watching the group described by `row`.
     pub fn new(row: GroupRow) -> GroupWatch {
         let members = row.members.iter().map(|host| Member {
             host: host.clone(),
-            whole_as: None,
+            bound_incarnation: None,
             last: None,
         });
         GroupWatch {
@@ -95,12 +96,12 @@
         }
     }
 
-    /// The row that is judged by.
+    /// The row that reports are compared with.
     pub fn row(&self) -> &GroupRow {
         &self.row
     }
 
-    /// Takes a newer reading of the row; findings about an older epoch are dropped.
+    /// Updates the row; reports of an older epoch are dropped.
     pub fn set_row(&mut self, row: GroupRow) {
         if row.epoch > self.row.epoch {
             *self = GroupWatch::new(row);
@@ -109,9 +110,9 @@
         }
     }
 
-    /// Takes a host's report that answers a probe sent at `sent`.
+    /// Records a host's report in response to a probe sent at `sent`.
     ///
-    /// Reports of other hosts and answers to older probes are ignored.
+    /// Reports of other hosts and responses to older probes are ignored.
     pub fn on_report(&mut self, report: &HostReport, sent: Instant) {
         let Some(member) = self.members.iter_mut().find(|m| m.host == report.host) else {
             return;
@@ -119,51 +120,51 @@
         if member.last.is_some_and(|seen| seen.sent >= sent) {
             return;
         }
-        member.last = Some(Seen {
+        member.last = Some(LatestReport {
             sent,
             incarnation: report.incarnation,
-            fault: fault(&self.row, report, member.whole_as),
+            member_problem: member_problem(&self.row, report, member.bound_incarnation),
         });
     }
 
-    /// The finding at `now`, and the instant as of which it holds: the sending of the
-    /// oldest probe that a whole group rests on, or of the probe that found a fault.
+    /// The verdict at `now`, and the instant as of which it holds: when the oldest probe behind a
+    /// whole group was sent, or the probe that found a problem.
     ///
-    /// A fault counts from its probe and not from now. A probe from before the
-    /// members were ordered to join would otherwise contradict another watcher's
-    /// newer one, and stop a group that has just become whole until the next round.
+    /// A problem is dated by its probe rather than by `now`. Otherwise a probe from before the
+    /// members were ordered to join would override another watcher's newer one, and a group that
+    /// has just become whole would stop serving until the next round.
     ///
-    /// A group found whole for the first time in this epoch binds its members'
-    /// incarnations: a member that restarts later holds nothing, whatever it says.
+    /// The first time that the group is whole in this epoch, its members' incarnations are
+    /// recorded: a member that restarts later has lost its state, whatever it reports.
     pub fn verdict(&mut self, now: Instant) -> (Verdict, Instant) {
         if self.row.phase != GroupPhase::Formed {
             return (Verdict::Ending, now);
         }
-        let mut worst = None;
+        let mut most_severe = None;
         let mut oldest = now;
         for member in &self.members {
-            let (reason, held_at) = match member.last {
-                Some(seen) => match aged(seen.sent, now) {
+            let (reason, as_of) = match member.last {
+                Some(seen) => match check_age(seen.sent, now) {
                     Some(silent) => (Some(silent), now),
-                    None => (seen.fault, seen.sent),
+                    None => (seen.member_problem, seen.sent),
                 },
                 None => (Some(MissingReason::Silent), now),
             };
-            worst = graver(
-                worst,
-                reason.map(|reason| (reason, (&member.host, held_at))),
+            most_severe = more_severe(
+                most_severe,
+                reason.map(|reason| (reason, (&member.host, as_of))),
             );
             oldest = member.last.map_or(oldest, |seen| oldest.min(seen.sent));
         }
-        if let Some((reason, (host, held_at))) = worst {
+        if let Some((reason, (host, as_of))) = most_severe {
             let host = host.clone();
-            return (Verdict::Missing { host, reason }, held_at);
+            return (Verdict::Missing { host, reason }, as_of);
         }
         self.bind_incarnations();
         (Verdict::Whole, oldest)
     }
 
-    /// When the probe was sent that the member's newest report answers.
+    /// When the probe behind the member's newest report was sent.
     pub fn last_answer(&self, host: &str) -> Option<Instant> {
         let member = self.members.iter().find(|m| m.host == host)?;
         member.last.map(|seen| seen.sent)
@@ -172,7 +173,7 @@
     fn bind_incarnations(&mut self) {
         for member in &mut self.members {
             let now_as = member.last.map(|seen| seen.incarnation);
-            member.whole_as = member.whole_as.or(now_as);
+            member.bound_incarnation = member.bound_incarnation.or(now_as);
         }
     }
 }
--- a/crates/group/src/lease/mod.rs
+++ b/crates/group/src/lease/mod.rs
@@ -1,4 +1,4 @@
-//! Node leases: the holder's side, the observer's side, and taking over a region.
+//! Node leases: the holder's side, the observer's side, and planner takeover.
 
 mod held;
 mod observer;
@@ -13,22 +13,22 @@
 use eelgrassmill_base::value;
 
 value! { copy
-    /// Durations that every node must hold alike.
+    /// Lease durations. Invariant: the same on every node.
     pub struct LeaseTiming {
-        /// How long one renewal lasts, counted from before it was sent.
+        /// Validity of one renewal, counted from before it was sent.
         pub term: Duration,
-        /// What the holder gives up early and an observer waits longer, for clocks that
-        /// run at different rates.
+        /// Allowance for clock rate drift: the holder stops this much earlier, and an
+        /// observer waits this much longer.
         pub clock_margin: Duration,
-        /// Longest time from the holder's check until an order has reached its host or failed.
+        /// Upper bound from the holder's lease check until its order is delivered or has failed.
         pub order_transit: Duration,
-        /// Longest time between two sightings of a row that still count as one stretch.
+        /// Longest gap between two reads of a row that still count as continuous observation.
         pub max_observation_gap: Duration,
     }
 }
 
 impl LeaseTiming {
-    /// After this time nothing that a silent holder ordered can still arrive.
+    /// Time after which no order of a holder that stopped renewing can still be delivered.
     pub fn orders_expire_after(&self) -> Duration {
         self.term + self.clock_margin + self.order_transit
     }
--- a/crates/group/src/lease/observer.rs
+++ b/crates/group/src/lease/observer.rs
@@ -1,4 +1,4 @@
-//! The observer's side of leases.
+//! Detects expired leases by observing other nodes' lease rows.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -8,29 +8,28 @@
 use crate::lease::LeaseTiming;
 
 #[derive(Clone, Copy, Debug)]
-struct Stretch {
+struct Observation {
     row: RowVersion,
-    /// When the answer of the first read with this version arrived.
+    /// When the first read that returned this version completed.
     first: Instant,
-    /// When the answer of the newest read with this version arrived.
+    /// When the newest read that returned this version completed.
     last: Instant,
 }
 
-/// What one node has itself seen of the other nodes' lease rows.
+/// One node's observations of the other nodes' lease rows.
 ///
-/// There is no wall clock in a row. A lease counts as lapsed only when this
-/// observer has seen the same row version over a stretch of term plus margin.
-/// A gap between sightings starts the stretch anew: after an outage of the
-/// table service every row looks old, though its holder had no chance to renew
+/// Rows carry no wall-clock time. A lease has expired only when this observer has seen the same
+/// row version for the term plus the clock margin. A gap between reads restarts the observation:
+/// after an outage of the table service every row looks old although its holder could not renew
 /// it, and without this rule the first reader would take over at once.
 #[derive(Clone, Debug)]
 pub struct LeaseObserver {
     timing: LeaseTiming,
-    seen: BTreeMap<NodeId, Stretch>,
+    seen: BTreeMap<NodeId, Observation>,
 }
 
 impl LeaseObserver {
-    /// An observer that has seen nothing.
+    /// Creates an observer without observations.
     pub fn new(timing: LeaseTiming) -> LeaseObserver {
         LeaseObserver {
             timing,
@@ -38,42 +37,42 @@
         }
     }
 
-    /// The durations it counts with.
+    /// The lease durations in use.
     pub fn timing(&self) -> LeaseTiming {
         self.timing
     }
 
-    /// Notes a row version whose reading was answered at `now`.
+    /// Records a row version returned by a read that completed at `now`.
     pub fn observe(&mut self, node: &NodeId, row: RowVersion, now: Instant) {
-        let fresh = Stretch {
+        let fresh = Observation {
             row,
             first: now,
             last: now,
         };
-        let stretch = self.seen.entry(node.clone()).or_insert(fresh);
-        // Two reads may be answered out of order; an old answer says nothing new.
-        if row < stretch.row {
+        let observation = self.seen.entry(node.clone()).or_insert(fresh);
+        // Reads may complete out of order; an older version carries no information.
+        if row < observation.row {
             return;
         }
-        let gap = now.saturating_duration_since(stretch.last);
-        if row > stretch.row || gap > self.timing.max_observation_gap {
-            *stretch = fresh;
+        let gap = now.saturating_duration_since(observation.last);
+        if row > observation.row || gap > self.timing.max_observation_gap {
+            *observation = fresh;
         } else {
-            stretch.last = stretch.last.max(now);
+            observation.last = observation.last.max(now);
         }
     }
 
-    /// Forgets a node whose row is gone.
+    /// Removes a node whose row was deleted.
     pub fn forget(&mut self, node: &str) {
         self.seen.remove(node);
     }
 
-    /// Whether the lease with this row version has lapsed.
+    /// Whether the lease with this row version has expired.
     pub fn has_expired(&self, node: &str, row: RowVersion) -> bool {
-        let Some(stretch) = self.seen.get(node) else {
+        let Some(observation) = self.seen.get(node) else {
             return false;
         };
-        let needed = self.timing.term + self.timing.clock_margin;
-        stretch.row == row && stretch.last.duration_since(stretch.first) >= needed
+        let expiry = self.timing.term + self.timing.clock_margin;
+        observation.row == row && observation.last.duration_since(observation.first) >= expiry
     }
 }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -1,8 +1,7 @@
-//! Model groups: membership, wholeness evidence, node leases, fencing and the repair policy.
+//! Model groups: membership, health evidence, node leases, fencing and the repair policy.
 //!
-//! Everything here is a pure function of states, events and an instant. The
-//! node crate reads the table service, probes the hosts and carries out what
-//! these functions answer.
+//! Everything here is a pure function of states, events and an instant. The node crate does the
+//! I/O: it reads the table service, probes the hosts and executes the returned actions.
 
 mod evidence;
 mod lease;
--- a/crates/group/src/rows.rs
+++ b/crates/group/src/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the table service that hold who owns what, and their keys.
+//! Ownership rows in the table service, and their keys.
 
 use eelgrassmill_base::{
     Epoch, FailureDomain, Fence, GroupId, HostId, Incarnation, ModelName, ModelVersion, NodeId,
@@ -36,41 +36,41 @@
 }
 
 value! { wire copy
-    /// Whether a node takes new work.
+    /// Whether a node accepts new work.
     pub enum NodeState {
-        /// It serves callers, watches groups and may become planner.
+        /// It serves callers, watches groups and may become the planner.
         Serving,
-        /// It ends what it runs and takes nothing new.
+        /// It finishes the work in progress and accepts none.
         Leaving,
     }
 
-    /// Where a group is in its life.
+    /// Lifecycle phase of a group.
     pub enum GroupPhase {
-        /// Its members are bound to it; whether it serves is for evidence to say.
+        /// Its members are bound to it; whether it can serve depends on the evidence.
         Formed,
-        /// Its only member loads weights to be a warm spare; it never serves.
+        /// Its only member loads weights to become a warm spare; it never serves.
         Warming,
-        /// It takes no new requests and its members are being released.
+        /// It accepts no new requests, and its members are being released.
         Ending,
     }
 
     /// Why a group was ended.
     pub enum EndReason {
-        /// A member is missing and the group is formed anew without it.
+        /// A member is missing; the group is re-formed without it.
         MemberLost,
-        /// A member restarted after the group had been whole.
+        /// A member restarted after the group was whole.
         MemberRestarted,
         /// A member is leaving its host.
         MemberLeaving,
-        /// Another version of the model is wanted.
+        /// The configuration names another model version.
         Rollout,
-        /// Its hosts are needed more by another group.
+        /// It was preempted: another service needs its hosts more.
         Yield,
-        /// Another group that serves has taken its place.
+        /// Another group serves in its place.
         Replaced,
-        /// The configuration wants it no more.
+        /// The configuration no longer asks for it.
         Unwanted,
-        /// Its spare has loaded the weights.
+        /// Its spare has finished loading the weights.
         Warmed,
     }
 }
@@ -80,29 +80,29 @@
     pub struct NodeRow {
         /// The node.
         pub node: NodeId,
-        /// This start of it.
+        /// The node's incarnation.
         pub incarnation: Incarnation,
-        /// Counts renewals. Invariant: rises with every write of one incarnation.
+        /// Number of renewals. Invariant: increases with every write of one incarnation.
         pub renewals: u64,
-        /// `IP:PORT` for callers.
+        /// Address for callers, `IP:PORT`.
         pub caller: SmolStr,
-        /// `IP:PORT` for other nodes.
+        /// Address for other nodes, `IP:PORT`.
         pub peer: SmolStr,
-        /// `IP:PORT` for operators.
+        /// Address for operators, `IP:PORT`.
         pub admin: SmolStr,
         /// Its failure domain.
         pub failure_domain: FailureDomain,
         /// Its region.
         pub region: Region,
-        /// Whether it takes new work.
+        /// Whether it accepts new work.
         pub state: NodeState,
     }
 
-    /// Who plans a region, `planner/REGION`.
+    /// The planner of a region, `planner/REGION`.
     pub struct PlannerRow {
-        /// The node that plans.
+        /// The planner's node.
         pub node: NodeId,
-        /// The start of it that does.
+        /// The node's incarnation.
         pub incarnation: Incarnation,
     }
 
@@ -116,25 +116,25 @@
         pub model: ModelName,
         /// The model's version.
         pub version: ModelVersion,
-        /// Invariant: higher than every epoch that any of its members had before.
+        /// Invariant: higher than every earlier epoch of any of its members.
         pub epoch: Epoch,
-        /// All members, the lead (rank 0) first.
+        /// All members; the first is the lead (rank 0).
         pub members: Vec<HostId>,
-        /// Where it is in its life.
+        /// Lifecycle phase.
         pub phase: GroupPhase,
-        /// Why it ends; `None` while it is formed.
+        /// Why it was ended; `None` before that.
         pub reason: Option<EndReason>,
     }
 
-    /// One host's binding, `host/HOST`. Never deleted, so that its fence can't go back.
+    /// The binding of one host, `host/HOST`. Never deleted, so that its fence can't decrease.
     pub struct HostRow {
         /// The host.
         pub host: HostId,
-        /// The group that it is bound to; `None` while it is free.
+        /// The group it is bound to; `None` while it is free.
         pub group: Option<GroupId>,
-        /// Epoch of the group it is bound to, or was bound to last.
+        /// Epoch of the group it is, or was last, bound to.
         pub epoch: Epoch,
-        /// Fencing number of the orders this row allows. Invariant: never falls.
+        /// Fencing token of the orders that this row allows. Invariant: never decreases.
         pub fence: Fence,
     }
 
@@ -152,15 +152,15 @@
         Host(HostRow),
     }
 
-    /// What a row must be for a change to happen.
+    /// The row version that a transaction requires.
     pub struct Precondition {
         /// The row's key.
         pub key: SmolStr,
-        /// The version it must have; 0 for absent.
+        /// The required version; 0 if the row must not exist.
         pub version: RowVersion,
     }
 
-    /// One write of a change.
+    /// One write of a transaction.
     pub struct Put {
         /// The row's key.
         pub key: SmolStr,
@@ -168,11 +168,11 @@
         pub value: RowValue,
     }
 
-    /// One transaction: all writes are made when all expectations hold, or none.
+    /// An atomic transaction: all writes are applied if all preconditions hold, otherwise none.
     pub struct Transaction {
-        /// What the rows must be.
+        /// The preconditions.
         pub expect: Vec<Precondition>,
-        /// What is written.
+        /// The writes.
         pub puts: Vec<Put>,
     }
 }
@@ -183,14 +183,14 @@
         self.members.first()
     }
 
-    /// `MODEL@VERSION`, as hosts name warm weights.
+    /// `MODEL@VERSION`, the name by which hosts report warm weights.
     pub fn weights(&self) -> SmolStr {
         weights_name(&self.model, &self.version)
     }
 }
 
 impl HostRow {
-    /// A row for a host that was never bound.
+    /// The row of a host that was never bound.
     pub fn new(host: impl Into<HostId>) -> HostRow {
         HostRow {
             host: host.into(),
@@ -202,7 +202,7 @@
 }
 
 impl Transaction {
-    /// A change that expects and writes nothing yet.
+    /// Creates an empty transaction.
     pub fn new() -> Transaction {
         Transaction {
             expect: Vec::new(),
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Adds an expectation.
+    /// Adds a precondition.
     pub fn expect(mut self, key: impl Into<SmolStr>, version: RowVersion) -> Transaction {
         let key = key.into();
         self.expect.push(Precondition { key, version });
@@ -231,22 +231,22 @@
     }
 }
 
-/// `MODEL@VERSION`, as hosts name warm weights and the weight store its objects.
+/// `MODEL@VERSION`, the name used by host reports and by the weight store.
 pub fn weights_name(model: &str, version: &str) -> SmolStr {
     format_smolstr!("{model}@{version}")
 }
 
-/// Name of a service's group with an index.
+/// Name of the group of `service` with this index.
 pub fn group_id(service: &str, index: u32) -> GroupId {
     format_smolstr!("{service}/{index}")
 }
 
-/// Name of the group by which a spare loads the weights of a service.
+/// Name of the group in which the spare `host` loads the weights of `service`.
 pub fn warming_group_id(service: &str, host: &str) -> GroupId {
     format_smolstr!("{service}/warm-{host}")
 }
 
-/// Service and index of a group's name.
+/// Splits a group name into service and index; `None` for warm-up groups.
 pub fn parse_group_id(group: &str) -> Option<(&str, u32)> {
     let (service, index) = group.rsplit_once('/')?;
     Some((service, index.parse().ok()?))
