--- a/crates/group/src/plan/action.rs
+++ b/crates/group/src/plan/action.rs
@@ -1,33 +1,33 @@
-//! What the planner wants done.
+//! Actions that the planner requests.
 
 use eelgrassmill_base::{GroupId, HostId, Order, RowVersion, value};
 
 use crate::rows::{EndReason, GroupRow, Transaction, node_key, planner_key};
 
 value! { copy
-    /// Why a host's row may be made free.
+    /// Why a host's row may be freed.
     pub enum FreeReason {
-        /// The host itself reports that it holds nothing and has obeyed the fence.
+        /// The host reports no placement and has seen the current fencing token.
         Confirmed,
-        /// No order that was allowed by the row can still be under way.
+        /// No order that the row allowed can still be in flight.
         OrdersExpired,
     }
 }
 
 value! {
-    /// One thing that the planner wants done.
+    /// One action requested by the planner.
     ///
-    /// Changes are committed only after [`Transaction::under_lease`]; orders are sent
+    /// Transactions are committed only after [`Transaction::under_lease`]; orders are sent
     /// only between [`crate::HeldLease::check`] and [`crate::HeldLease::confirm`].
     pub enum Action {
-        /// Bind free hosts to a group under a new epoch.
+        /// Binds free hosts to a group in a new epoch.
         FormGroup {
             /// The group's new row.
             row: GroupRow,
             /// The transaction.
             transaction: Transaction,
         },
-        /// Stop routing to a group and start to release its members.
+        /// Stops routing to a group and starts releasing its members.
         EndGroup {
             /// The group.
             group: GroupId,
@@ -36,28 +36,28 @@
             /// The transaction.
             transaction: Transaction,
         },
-        /// Make a host's row free.
+        /// Frees a host's row.
         FreeHost {
             /// The host.
             host: HostId,
-            /// What allows it.
+            /// Why it may be freed.
             reason: FreeReason,
             /// The transaction.
             transaction: Transaction,
         },
-        /// Delete the row of a group that has ended and holds no host.
+        /// Deletes the row of a group that has ended and binds no host.
         RemoveGroup {
             /// The group.
             group: GroupId,
             /// The transaction.
             transaction: Transaction,
         },
-        /// Tell a host to join its group; repeated until its report shows it.
+        /// Orders a host to join its group; repeated until its report confirms it.
         SendJoin {
             /// The order.
             order: Order,
         },
-        /// Tell a host to leave a group; repeated until its report shows it.
+        /// Orders a host to leave a group; repeated until its report confirms it.
         SendLeave {
             /// The order.
             order: Order,
@@ -66,7 +66,7 @@
 }
 
 impl Action {
-    /// The transaction, for actions that are one.
+    /// The transaction, if the action is one.
     pub fn transaction(&self) -> Option<&Transaction> {
         match self {
             Action::FormGroup { transaction, .. }
@@ -77,7 +77,7 @@
         }
     }
 
-    /// The order, for actions that are one.
+    /// The order, if the action is one.
     pub fn order(&self) -> Option<&Order> {
         match self {
             Action::SendJoin { order } | Action::SendLeave { order } => Some(order),
@@ -87,11 +87,11 @@
 }
 
 impl Transaction {
-    /// Makes the change conditional on the planner's lease row and planner row.
+    /// Adds the planner's lease row and planner row as preconditions.
     ///
-    /// Added at the last moment and not by the plan, since the lease row's
-    /// version rises with every renewal. Without it a planner that was paused
-    /// past its lease would still write.
+    /// Called just before the commit and not while planning, since the lease row's version
+    /// increases with every renewal. Without these preconditions a planner that was paused until
+    /// after its lease expired could still write.
     pub fn under_lease(
         self,
         node: &str,
--- a/crates/group/src/plan/baseline.rs
+++ b/crates/group/src/plan/baseline.rs
@@ -1,4 +1,4 @@
-//! Two plain ways to repair, which the policy is measured against.
+//! Two baseline repair strategies for comparison.
 
 use crate::plan::form::reserve_hosts;
 use crate::plan::group::GroupHealth;
@@ -7,7 +7,7 @@
 use crate::plan::view::HostStatus;
 use crate::rows::EndReason;
 
-/// The baseline that waits: ends a group only when its member can't come back.
+/// Waits for missing members; ends a group only if one can't come back.
 pub(crate) fn wait_for_return(round: &mut Round<'_>, service_index: usize, index: usize) {
     let group = &round.services[service_index].groups[index];
     let unrecoverable = !may_recover(group) && group.health != GroupHealth::Serving;
@@ -17,7 +17,7 @@
     }
 }
 
-/// The baseline that takes the first spare as soon as a member is missing.
+/// Takes the first spares as soon as a member is missing.
 pub(crate) fn first_spare(round: &mut Round<'_>, service_index: usize, index: usize) {
     let served = round.services[service_index].groups[index].health == GroupHealth::Serving;
     round.services[service_index].groups[index].recovering = true;
--- a/crates/group/src/plan/end.rs
+++ b/crates/group/src/plan/end.rs
@@ -1,4 +1,4 @@
-//! The transaction that begins to end a group.
+//! The transaction that starts ending a group.
 
 use crate::plan::action::Action;
 use crate::plan::round::Round;
@@ -7,7 +7,7 @@
     EndReason, GroupPhase, GroupRow, HostRow, RowValue, Transaction, group_key, host_key,
 };
 
-/// Whether the group could serve when it was ended, so that requests in progress matter.
+/// Whether the group could still serve when it was ended, so that it has to be drained.
 pub(crate) fn is_graceful(reason: Option<EndReason>) -> bool {
     !matches!(
         reason,
@@ -15,7 +15,7 @@
     )
 }
 
-/// Whether the group is to be formed again from the same hosts where that is possible.
+/// Whether the group is to be re-formed from the same hosts where possible.
 pub(crate) fn is_reformable(reason: Option<EndReason>) -> bool {
     matches!(
         reason,
@@ -28,10 +28,11 @@
     )
 }
 
-/// Begins to end a group; whether this round's bound allowed it.
+/// Starts ending a group; returns false if it is already ending or the round's transaction limit
+/// is reached.
 ///
-/// The fence of every member rises with it, so that a host that checks orders
-/// refuses a `Join` of this epoch that is still under way.
+/// It raises the fence of every member, so that a host that checks orders refuses a `Join` of
+/// this epoch that is still in flight.
 pub(crate) fn end_group(round: &mut Round<'_>, group: &GroupStatus, reason: EndReason) -> bool {
     if !round.may_commit() || !group.is_live() {
         return false;
--- a/crates/group/src/plan/form.rs
+++ b/crates/group/src/plan/form.rs
@@ -1,4 +1,4 @@
-//! Forming groups from free hosts.
+//! Forms groups from free hosts.
 
 use std::time::Instant;
 
@@ -23,10 +23,10 @@
     pub(crate) members: Vec<&'a HostStatus>,
 }
 
-/// Forms groups again that were ended to be mended, from their own hosts and spares.
+/// Re-forms groups that were ended for repair, from their own hosts and spares.
 ///
-/// Those that need the fewest other hosts go first: they return the most
-/// capacity for each load.
+/// Groups that need the fewest other hosts come first, since they restore the most capacity per
+/// load.
 pub(crate) fn reform_ended(round: &mut Round<'_>) {
     let mut ended: Vec<(usize, usize, usize)> = Vec::new();
     for (service_index, service) in round.services.iter().enumerate() {
@@ -60,7 +60,7 @@
         phase: GroupPhase::Formed,
         members,
     };
-    // Its hosts are kept for it also while some have yet to confirm that they left.
+    // Its hosts stay reserved while some have yet to confirm that they left.
     round.services[service_index].groups[index].recovering = true;
     reserve_hosts(round, &new.members);
     let all_free = new.members.iter().all(|h| h.row.group.is_none());
@@ -74,7 +74,7 @@
     members.iter().all(empty)
 }
 
-/// The hosts to form an ended group of: those of its own that are fit and the best spares.
+/// The members for re-forming an ended group: its own healthy hosts and the best spares.
 fn reform_members<'a>(
     round: &Round<'a>,
     service: &ServiceState<'a>,
@@ -92,7 +92,7 @@
     let mut picked: Vec<&HostStatus> = members.filter(|h| own(h)).collect();
     let missing = size.saturating_sub(picked.len());
     picked.extend(spares_for(round, service, group, missing));
-    // A warm spare goes before a member that restarted and has to load anew.
+    // A warm spare is preferred to a restarted member, which has to load again.
     if round.policy.strategy == RepairStrategy::CostBased {
         picked.sort_by_key(|h| !h.is_warm(&service.weights));
     }
@@ -109,8 +109,8 @@
     })
 }
 
-/// Free hosts that may complete the group: those of its fabric domain, or where they don't
-/// suffice, those of others too, since a slow group is better than none.
+/// Free hosts that may complete the group: those of its fabric domain and, if there are too few,
+/// those of other domains, since a slow group is better than none.
 fn spares_for<'a>(
     round: &Round<'a>,
     service: &ServiceState<'a>,
@@ -133,7 +133,7 @@
     spares
 }
 
-/// Takes the hosts out of the free ones.
+/// Removes the hosts from the free ones.
 pub(crate) fn reserve_hosts(round: &mut Round<'_>, hosts: &[&HostStatus]) {
     for host in hosts {
         if let Some(entry) = &host.entry {
@@ -142,10 +142,10 @@
     }
 }
 
-/// Forms groups until each service has as many as it is to have, or nothing fits.
+/// Forms groups until each service has the desired number, or none fits.
 ///
-/// Groups that are broken and not expected back, have a member leaving or serve
-/// an old version don't count, so a replacement is made before they are ended.
+/// Groups that are broken and not expected to recover, have a leaving member or serve an old
+/// version don't count, so that replacements are formed before they are ended.
 pub(crate) fn form_missing(round: &mut Round<'_>) {
     for service_index in by_shortfall(round) {
         while round.may_commit() {
@@ -157,7 +157,7 @@
     }
 }
 
-/// Services, those first whose demand is least met.
+/// Services ordered by relative shortfall, the largest first.
 fn by_shortfall(round: &Round<'_>) -> Vec<usize> {
     let mut order: Vec<usize> = (0..round.services.len()).collect();
     order.sort_by_key(|i| {
@@ -193,16 +193,16 @@
     formed
 }
 
-/// Whether some fabric domain has the free hosts for a whole group.
+/// Whether some fabric domain has enough free hosts for a whole group.
 pub(crate) fn has_capacity(round: &Round<'_>, service: &ServiceState<'_>) -> bool {
     let size = service.cfg.hosts_per_group as usize;
     round.free.values().any(|free| free.len() >= size)
 }
 
-/// The fabric domain to form a group in: where its failure domain has the fewest groups of
-/// the service, then where least has to be loaded, then where most spares are left.
+/// The fabric domain to form a group in: the one whose failure domain has the fewest groups of
+/// the service, then the one with the fewest hosts to load, then the one with the most free hosts.
 ///
-/// When the service lacks groups for its demand, the least loading goes first.
+/// If the service is short of groups for its demand, the number of hosts to load comes first.
 fn best_domain<'a>(
     round: &Round<'a>,
     service: &ServiceState<'a>,
@@ -224,7 +224,7 @@
     best.map(|(domain, _)| *domain)
 }
 
-/// Groups of the service that share the host's failure domain.
+/// Number of groups of the service in the host's failure domain.
 fn colocated(round: &Round<'_>, service: &ServiceState<'_>, host: &HostStatus) -> usize {
     let failure_domain = host.entry.as_ref().map(|e| &e.failure_domain);
     let here = |id: &HostId| {
@@ -237,7 +237,7 @@
         .count()
 }
 
-/// `size` free hosts of a domain: warm ones first, then those warm for nothing.
+/// Picks `size` free hosts of a domain: warm ones first, then those that hold the fewest models.
 fn pick_members<'a>(
     round: &Round<'a>,
     service: &ServiceState<'a>,
@@ -250,7 +250,8 @@
     hosts
 }
 
-/// Warm hosts first; of the cold ones those first that are of no use to another service.
+/// Sorts warm hosts first, then cold ones by the number of models they hold, so that those
+/// useful to other services come last.
 pub(crate) fn sort_by_warmth(hosts: &mut [&HostStatus], service: &ServiceState<'_>) {
     hosts.sort_by_key(|h| {
         let warm = h.report.as_ref().map_or(0, |r| r.warm.len());
@@ -258,10 +259,10 @@
     });
 }
 
-/// Hosts of several fabric domains, where a group can't be had in any other way.
+/// Picks hosts of several fabric domains if no single domain has enough.
 ///
-/// Such a group is slow. It is the last resort after the service has been short
-/// for a while, since hosts that come back may make a better one.
+/// Such a group is slow. It is formed only after the service has been short of groups for
+/// `span_after`, since returning hosts may allow a better one.
 fn pick_across_domains<'a>(
     round: &Round<'a>,
     service: &ServiceState<'a>,
@@ -285,7 +286,7 @@
     (hosts.len() == size && settled).then_some(hosts)
 }
 
-/// The lowest free index of those that belong to this region.
+/// The group name with the lowest free index that belongs to this region.
 fn next_group_id(round: &Round<'_>, service: &ServiceState<'_>) -> GroupId {
     let regions = round.view.regions.len().max(1) as u32;
     let first = round.region_index() as u32;
@@ -303,7 +304,8 @@
     group_id(service.name, index)
 }
 
-/// Adds the transaction that binds free hosts to a group; whether the bounds allowed it.
+/// Adds the transaction that binds free hosts to a group; returns false if the round's limits
+/// don't allow it.
 pub(crate) fn form_group(round: &mut Round<'_>, service_index: usize, new: NewGroup<'_>) -> bool {
     let weights = round.services[service_index].weights.clone();
     let cold = new.members.iter().filter(|h| !h.is_warm(&weights)).count();
--- a/crates/group/src/plan/merge.rs
+++ b/crates/group/src/plan/merge.rs
@@ -1,4 +1,4 @@
-//! Joining the hosts of broken groups into fewer whole ones.
+//! Merges the hosts of broken groups into fewer whole groups.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,31 +9,31 @@
 use crate::plan::round::Round;
 use crate::rows::EndReason;
 
-/// How far apart two groups may be whose hosts are joined.
+/// How far apart two merged groups may be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Distance {
-    /// One service and fabric domain: no load, and the result is as fast as before.
+    /// Same service and fabric domain: no load, and the result is as fast as before.
     FabricDomain,
-    /// One service: no load, but the result is slow.
+    /// Same service: no load, but the result is slow.
     Service,
     /// Any: the donor's hosts have to load.
     Any,
 }
 
-/// A broken group that isn't expected back in time.
+/// A broken group that isn't expected to recover in time.
 #[derive(Clone, Copy, Debug)]
 struct Stuck {
     lost: usize,
     service_index: usize,
     index: usize,
-    /// Members that are fit.
+    /// Number of healthy members.
     fit: usize,
 }
 
-/// Joins the hosts of broken groups into fewer whole ones.
+/// Merges the hosts of broken groups into fewer whole groups.
 ///
-/// The one that is completed is back, while its donor would have stayed broken
-/// in any case. The nearest donors are tried first.
+/// The receiver serves again, while its donor would have stayed broken anyway. The nearest
+/// donors are tried first.
 pub(crate) fn merge_broken(round: &mut Round<'_>) {
     for distance in [Distance::FabricDomain, Distance::Service, Distance::Any] {
         let mut stuck = stuck_groups(round, distance);
@@ -68,7 +68,7 @@
     found
 }
 
-/// Completes the least damaged groups from the most damaged ones.
+/// Completes the least damaged groups with hosts of the most damaged ones.
 fn merge(round: &mut Round<'_>, stuck: &[Stuck], distance: Distance) {
     let mut donated: BTreeMap<usize, usize> = BTreeMap::new();
     for (position, receiver) in stuck.iter().enumerate() {
@@ -100,7 +100,7 @@
                 EndReason::MemberLost,
             );
         }
-        // The donor is not expected back by itself; its hosts are free for all.
+        // The donor is not expected to recover, so its hosts are available to any group.
         round.services[donor.service_index].groups[donor.index].recovering = false;
     }
 }
--- a/crates/group/src/plan/mod.rs
+++ b/crates/group/src/plan/mod.rs
@@ -1,10 +1,10 @@
-//! The planner: a pure function from what is known of a region to what is to be done.
+//! The planner: a pure function from the known state of a region to a list of actions.
 //!
-//! One round looks at every host and group once, in this order: release and
-//! order hosts, end groups that are not wanted or can be mended better in
-//! another shape, form groups from free hosts, and load spares. Each round is
-//! bounded in transactions and in hosts that load at once, so that a dark
-//! fabric domain starts no storm; what doesn't fit waits for the next round.
+//! One round visits every host and group, in this order: order and release hosts, end surplus
+//! groups, re-form and repair groups, form missing ones from free hosts, and load weights on
+//! spares. Each round bounds the number of transactions and of concurrent loads, so that the loss
+//! of a fabric domain doesn't overload the table and the weight store; the rest waits for later
+//! rounds.
 
 mod action;
 mod baseline;
@@ -31,7 +31,7 @@
 
 use crate::plan::round::Round;
 
-/// What is to be done now, the most urgent first.
+/// Returns the actions to take now, the most urgent first.
 pub fn plan(view: &FleetView, policy: &RepairPolicy, now: Instant) -> Vec<Action> {
     let mut round = Round::new(view, policy, now);
     reconcile::reconcile(&mut round);
--- a/crates/group/src/plan/policy.rs
+++ b/crates/group/src/plan/policy.rs
@@ -1,4 +1,4 @@
-//! Settings of the repair policy.
+//! Repair policy settings.
 
 use std::time::Duration;
 
@@ -6,56 +6,56 @@
 
 use crate::lease::LeaseTiming;
 
-/// How a broken group is mended.
+/// How a broken group is repaired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepairStrategy {
-    /// Weighs waiting, spares, joining, yielding and moving; what the product uses.
+    /// Compares the expected downtime of waiting, spares, merging and preemption; the default.
     CostBased,
-    /// Waits for the missing host until the host list drops it; for comparison.
+    /// Waits for the missing host until it leaves the host list; a baseline.
     WaitForReturn,
-    /// Takes the first spare as soon as a host is missing; for comparison.
+    /// Takes the first spare as soon as a host is missing; a baseline.
     FirstSpare,
 }
 
 /// Settings of the planner; see [`RepairPolicy::new`] for the defaults.
 #[derive(Clone, Debug)]
 pub struct RepairPolicy {
-    /// How a broken group is mended.
+    /// How a broken group is repaired.
     pub strategy: RepairStrategy,
-    /// What is saved first.
+    /// Whether downtime or stranded accelerators are minimized first.
     pub weight: RepairWeight,
-    /// Silence after which a host counts as missing.
+    /// Time without a probe response after which a host counts as missing.
     pub detection_timeout: Duration,
-    /// Assumed time from ending a group until it is whole again when all weights are warm.
+    /// Assumed time from ending a group until it is whole again if all its hosts are warm.
     pub reform_time: Duration,
-    /// Most hosts that load weights at once.
+    /// Maximum number of hosts that load weights concurrently.
     pub max_loads: usize,
-    /// Most transactions in one round.
+    /// Maximum number of transactions in one round.
     pub max_transactions: usize,
-    /// Time between two sendings of an order that hasn't shown effect.
+    /// Interval at which an order without visible effect is sent again.
     pub resend_interval: Duration,
-    /// Time in which every node learns that a group serves. Until then another one that
-    /// keeps the floor is not ended for it.
+    /// Time until every node knows that a group serves. Until then no other group that is
+    /// needed for the floor is ended in its favor.
     pub propagation_delay: Duration,
-    /// Least time that a group which served keeps its members after it began to end, so
-    /// that every node has stopped routing to it.
+    /// Minimum time that an ending group which served keeps its members, so that every node
+    /// has stopped routing to it.
     pub min_drain: Duration,
-    /// Longest time that requests in progress may keep an ending group.
+    /// Maximum time that an ending group waits for requests in progress.
     pub max_drain: Duration,
-    /// How long a group that ended is expected to be formed again from the same hosts.
+    /// How long an ended group may be re-formed from the same hosts.
     pub reform_timeout: Duration,
-    /// How long a group has been down before one is formed over several fabric domains.
+    /// How long a group must be down before one is formed across several fabric domains.
     pub span_after: Duration,
-    /// How long a service is short of its need before another gives up a group that serves.
+    /// How long a service must be short of required groups before it preempts another's group.
     pub preempt_after: Duration,
-    /// Loading that takes longer than this is counted as failed.
+    /// Loading that takes longer counts as failed.
     pub load_timeout: Duration,
     /// Durations of leases and orders.
     pub timing: LeaseTiming,
 }
 
 impl RepairPolicy {
-    /// The defaults for a weight.
+    /// The defaults for a repair weight.
     pub fn new(weight: RepairWeight) -> RepairPolicy {
         RepairPolicy {
             strategy: RepairStrategy::CostBased,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// The same with another way to mend, for comparison.
+    /// Sets another repair strategy, for comparison.
     pub fn with_strategy(mut self, strategy: RepairStrategy) -> RepairPolicy {
         self.strategy = strategy;
         self
--- a/crates/group/src/plan/preempt.rs
+++ b/crates/group/src/plan/preempt.rs
@@ -1,4 +1,4 @@
-//! Giving the hosts of one service's group to another service that needs them more.
+//! Preempts a group of one service for another service that needs its hosts more.
 
 use eelgrassmill_config::RepairWeight;
 
@@ -12,10 +12,10 @@
 
 /// Ends a group whose hosts are needed more by another service.
 ///
-/// A service below its need, which is the demand and its floor at least, takes
-/// the hosts of a group that another service has above its own need. With
-/// [`RepairWeight::Stranded`] it also takes the hosts of a broken group that
-/// isn't expected back, rather than leave them idle.
+/// A service below its required number of groups, which is its demand but at least its floor,
+/// preempts a group of another service that has more than it requires. With
+/// [`RepairWeight::Stranded`] it also preempts a broken group that isn't expected to recover,
+/// rather than leave its hosts idle.
 pub(crate) fn preempt_for_demand(round: &mut Round<'_>) {
     for service_index in 0..round.services.len() {
         let service = &round.services[service_index];
@@ -38,7 +38,7 @@
     }
 }
 
-/// Whether the group may be back before another one, ended for its sake, would have paid.
+/// Whether the group may recover before preempting another one would pay off.
 fn may_recover_soon(round: &Round<'_>, group: &Group<'_>) -> bool {
     let down = round.now.saturating_duration_since(group.status.down_since);
     !group.is_serving() && down < round.policy.preempt_after
--- a/crates/group/src/plan/reconcile.rs
+++ b/crates/group/src/plan/reconcile.rs
@@ -1,4 +1,4 @@
-//! Orders to hosts, and the release of hosts whose group has ended.
+//! Reconciles hosts with their rows: sends orders and releases the hosts of ended groups.
 
 use eelgrassmill_base::{HostReport, Order, OrderKind, Placement};
 
@@ -10,7 +10,7 @@
     EndReason, GroupPhase, GroupRow, HostRow, RowValue, Transaction, group_key, host_key,
 };
 
-/// Sends what hosts have yet to obey, frees what has been released, and removes what is over.
+/// Sends outstanding orders, frees released hosts and removes finished groups.
 pub(crate) fn reconcile(round: &mut Round<'_>) {
     let view = round.view;
     let mut groups = GroupLookup::new(view);
@@ -39,11 +39,10 @@
     }
 }
 
-/// Orders a host whose report differs from its row.
+/// Sends an order to a host whose report differs from its row.
 ///
-/// A host that was paused or cut off comes back as if nothing had happened and
-/// may report a group that has long been formed without it. What it holds is
-/// compared with its row only, never taken from its own word.
+/// A host that returns after a pause or a network partition may report a group that has since
+/// been formed without it. The row decides; the reported placement is only compared with it.
 fn order_host(
     round: &mut Round<'_>,
     host: &HostStatus,
@@ -75,7 +74,7 @@
     held.group == row.group && held.epoch == row.epoch
 }
 
-/// A bound host that checks orders must have seen the newest fence before it is free.
+/// Whether a bound host that checks orders has yet to see the newest fence before it can be freed.
 fn must_raise_fence(round: &Round<'_>, host: &HostStatus, report: &HostReport) -> bool {
     host.row.group.is_some()
         && round.view.config.checks_orders(&host.row.host)
@@ -102,8 +101,8 @@
     });
 }
 
-/// Whether the order is new to the host, or was sent a while ago and an answer since shows no
-/// effect.
+/// Whether the order was not sent yet, or was sent a resend interval ago and a later report shows
+/// no effect.
 fn is_due(round: &Round<'_>, host: &HostStatus, kind: OrderKind, placement: &Placement) -> bool {
     let Some((last, epoch, at)) = host.order_sent else {
         return true;
@@ -123,7 +122,7 @@
     }
 }
 
-/// What a `Leave` names for a host that reports nothing: its row's group and epoch.
+/// The placement for a `Leave` to a host that reports none: its row's group and epoch.
 fn last_placement(host: &HostStatus, group: Option<&GroupStatus>) -> Placement {
     let row = group.map(|g| &g.row);
     Placement {
@@ -135,7 +134,7 @@
     }
 }
 
-/// Whether the requests in progress of an ending group have ended or had their time.
+/// Whether an ending group has no requests in progress, or its drain time is over.
 fn is_drained(round: &Round<'_>, group: &GroupStatus) -> bool {
     if group.is_live() || !end::is_graceful(group.row.reason) || !group.served {
         return true;
@@ -150,7 +149,7 @@
     ending_for >= round.policy.max_drain || (all_idle && ending_for >= round.policy.min_drain)
 }
 
-/// Frees a host of a group that ended, when that is confirmed or outlived.
+/// Frees a host of an ended group once the release is confirmed or all earlier orders have expired.
 fn release(round: &mut Round<'_>, host: &HostStatus, fresh: bool) {
     let reason = match host.report.as_ref() {
         Some(report) if fresh => {
@@ -177,11 +176,11 @@
     });
 }
 
-/// Whether the report proves that the host holds nothing and will obey no older order.
+/// Whether the report proves that the host holds no placement and will obey no older order.
 ///
-/// A host that checks orders proves it by the fence that it has obeyed. For
-/// any other host a `Join` may still be under way behind an empty report;
-/// only an answer to a probe sent after the last `Join` has had its time counts.
+/// For a host that checks orders, the fence it reports is the proof. For any other host a `Join`
+/// may still be in flight behind an empty report; only the response to a probe sent after the
+/// transit time of the last `Join` counts.
 fn confirms_release(round: &Round<'_>, host: &HostStatus, report: &HostReport) -> bool {
     if report.placement.is_some() {
         return false;
@@ -195,18 +194,17 @@
     host.probe_sent.is_some_and(|sent| sent >= earliest)
 }
 
-/// Whether the host has been silent, and its group ended, for so long that nothing which the
-/// old row allowed can still reach it.
+/// Whether the host has been silent, and its group ended, for so long that no order that the old
+/// row allowed can still reach it.
 ///
-/// Beginning to end a group writes the row of every member, so the row's age is
-/// the time since then at most.
+/// Ending a group writes the row of every member, so at least the row's age has passed since then.
 fn orders_expired(round: &Round<'_>, host: &HostStatus) -> bool {
     let ended_for = round.now.saturating_duration_since(host.row_since);
     let needed = round.policy.timing.orders_expire_after();
     ended_for >= needed && host.silent_for(round.now) >= needed
 }
 
-/// Ends a group that has done its work or is in no configuration, and removes one that is over.
+/// Ends a warm-up group that is done, and removes a group that has ended.
 fn reconcile_group(round: &mut Round<'_>, group: &GroupStatus) {
     match group.row.phase {
         GroupPhase::Ending => remove_if_finished(round, group),
@@ -238,7 +236,7 @@
     }
 }
 
-/// Deletes the row of a group that no service will form anew and that binds no host.
+/// Deletes the row of a group that won't be re-formed and that binds no host.
 fn remove_if_finished(round: &mut Round<'_>, group: &GroupStatus) {
     let configured = round.services.iter().any(|w| *w.name == group.row.service);
     let reformable = configured && end::is_reformable(group.row.reason);
--- a/crates/group/src/plan/recovery.rs
+++ b/crates/group/src/plan/recovery.rs
@@ -1,37 +1,37 @@
-//! How long missing hosts stay away, learned from those that came back.
+//! Model of how long hosts stay missing, learned from earlier failures.
 
 use std::time::Duration;
 
 use eelgrassmill_base::value;
 
-/// Upper bounds of the classes by which absences are counted, in milliseconds.
+/// Upper bounds of the histogram buckets, in milliseconds.
 const BOUNDS_MS: [u64; 18] = [
     1_000, 2_000, 3_000, 4_000, 6_000, 8_000, 12_000, 16_000, 24_000, 32_000, 48_000, 64_000,
     96_000, 128_000, 256_000, 512_000, 1_024_000, 4_096_000,
 ];
-/// What is believed before anything was seen, as (class, count): pauses, restarts, long repairs.
+/// Initial counts as (bucket, count): pauses, restarts, long repairs.
 const PRIOR: [(usize, u32); 5] = [(2, 1), (3, 1), (5, 1), (11, 2), (14, 1)];
-/// Absences believed never to end, before anything was seen.
+/// Initial count of permanent failures.
 const PRIOR_PERMANENT: u32 = 1;
-/// Counts are halved at this sum, so that the newest thousand or so absences decide.
+/// Sum at which all counts are halved, so that about the last thousand failures decide.
 const DECAY_THRESHOLD: u32 = 2_000;
 
 value! { copy
-    /// What went missing.
+    /// Extent of a failure.
     pub enum FailureScope {
-        /// One host, or a few.
+        /// One host or a few.
         Isolated,
-        /// A large part of a fabric domain at once.
+        /// Many hosts of a fabric domain at once.
         Correlated,
     }
 }
 
 value! { copy
-    /// What a return is worth.
+    /// How a host recovers.
     pub enum Recovery {
-        /// The host still holds what it held, so its group is whole at once.
+        /// The host kept its state, so its group is whole at once.
         Intact,
-        /// The host is fit to be a member again, whether or not it holds anything.
+        /// The host can be a member again, with or without its state.
         Reusable,
     }
 }
@@ -42,11 +42,10 @@
     permanent: u32,
 }
 
-/// How long absences last.
+/// Distribution of failure durations.
 ///
-/// A fixed wait is wrong on one side or the other: hosts that are paused come
-/// back within seconds, those that restart within minutes, broken ones never,
-/// and which is usual differs from fleet to fleet.
+/// No fixed wait fits all cases: paused hosts return within seconds, restarted ones within
+/// minutes, broken ones never, and the mix differs between fleets.
 #[derive(Clone, Debug)]
 pub struct RecoveryModel {
     isolated: Recoveries,
@@ -60,7 +59,7 @@
 }
 
 impl RecoveryModel {
-    /// Believes the prior only.
+    /// Creates a model with the initial counts only.
     pub fn new() -> RecoveryModel {
         RecoveryModel {
             isolated: Recoveries::prior(),
@@ -68,29 +67,29 @@
         }
     }
 
-    /// Notes that an absence ended after `outage`, in a return of this worth.
+    /// Records that a host recovered after `outage`.
     pub fn record(&mut self, scope: FailureScope, recovery: Recovery, outage: Duration) {
         let recoveries = self.recoveries_mut(scope);
         recoveries.reusable.add(outage);
         match recovery {
             Recovery::Intact => recoveries.intact.add(outage),
-            // A host that comes back empty does not make its group whole again.
+            // A host that lost its state doesn't make its group whole again.
             Recovery::Reusable => recoveries.intact.add_permanent(),
         }
     }
 
-    /// Notes that a host that was missing has left the host list.
+    /// Records that a missing host has left the host list.
     pub fn record_permanent(&mut self, scope: FailureScope) {
         let recoveries = self.recoveries_mut(scope);
         recoveries.reusable.add_permanent();
         recoveries.intact.add_permanent();
     }
 
-    /// How long after the start of an absence to act, if acting takes `cost` until the group
-    /// is whole and a return of this worth would make it whole at once.
+    /// How long to wait for a recovery before acting, if acting takes `cost` until the group is
+    /// whole and such a recovery would make it whole at once.
     ///
-    /// The answer has the least expected downtime over all absences seen: those
-    /// shorter than it cost themselves, the rest it plus `cost`.
+    /// The result minimizes the expected downtime over all recorded failures: one shorter than the
+    /// wait costs its own duration, any other the wait plus `cost`.
     pub fn optimal_wait(
         &self,
         scope: FailureScope,
@@ -171,7 +170,7 @@
         self.permanent = (self.permanent / 2).max(1);
     }
 
-    /// Sum over all absences of the downtime in milliseconds, if acting after `wait`.
+    /// Total downtime over all recorded failures when acting after `wait`, in milliseconds.
     fn expected_downtime(&self, wait: u64, cost: u64) -> u64 {
         let mut sum = u64::from(self.permanent) * (wait + cost);
         let mut lower = 0;
--- a/crates/group/src/plan/repair.rs
+++ b/crates/group/src/plan/repair.rs
@@ -1,9 +1,8 @@
-//! What to do about groups that have lost a member or are about to.
+//! Repairs groups that have lost a member or are about to.
 //!
-//! The ways are tried in the order of what they cost: swap the lost members
-//! for warm spares of the same fabric domain, load a spare there while the
-//! missing host may still come back, join the hosts of two broken groups,
-//! and, in [`crate::plan::form`], replace the group elsewhere.
+//! The options are tried in order of cost: replace the lost members with warm spares of the same
+//! fabric domain, load a spare there while the missing host may still return, merge the hosts of
+//! broken groups, and, in [`crate::plan::form`], replace the group elsewhere.
 
 use std::time::Duration;
 
@@ -21,7 +20,7 @@
 use crate::plan::view::HostStatus;
 use crate::rows::EndReason;
 
-/// Looks at every group that has lost a member.
+/// Repairs every group that has a faulty member.
 pub(crate) fn repair(round: &mut Round<'_>) {
     for (service_index, index) in damaged(round) {
         match round.policy.strategy {
@@ -37,7 +36,7 @@
     }
 }
 
-/// Damaged groups, those first that need the fewest other hosts.
+/// Groups with faulty members; those that don't serve first, then by number of faults.
 fn damaged(round: &Round<'_>) -> Vec<(usize, usize)> {
     let mut found = Vec::new();
     for (service_index, service) in round.services.iter().enumerate() {
@@ -58,7 +57,7 @@
 fn repair_group(round: &mut Round<'_>, service_index: usize, index: usize) {
     let group = &round.services[service_index].groups[index];
     let Some(domain) = group.domain else {
-        // Spares of other fabric domains are considered later; a restart needs none.
+        // Spares of other fabric domains are considered later; a restarted member needs no spare.
         if group.health == GroupHealth::Broken && replacements_needed(group) == 0 {
             end_damaged(round, service_index, index, EndReason::MemberRestarted);
         }
@@ -73,8 +72,8 @@
     }
 }
 
-/// A group that serves and has a member leaving: replaced whole where that fits, else its
-/// leaving members are swapped for spares that are warm already.
+/// Handles leaving members of a serving group: the whole group is replaced if there is capacity,
+/// otherwise the leaving members are replaced with warm spares.
 fn replace_leaving(
     round: &mut Round<'_>,
     service_index: usize,
@@ -88,8 +87,7 @@
         .iter()
         .filter(|(_, fault)| *fault == MemberFault::Leaving)
         .count();
-    // A replacement that is on its way is waited for: ending the group now would take
-    // away capacity that it still gives.
+    // Wait for a replacement in progress: ending the group now would remove capacity.
     let replacing = service.expected() >= service.desired;
     let has_room = has_capacity(round, service) || capacity_is_pending(round, service, domain);
     if leaving == 0 || replacing || has_room {
@@ -107,10 +105,10 @@
     }
 }
 
-/// Whether spares that have just loaded are about to make room for a whole group.
+/// Whether spares that have just loaded will soon suffice for a whole group.
 ///
-/// Their rows are freed within a few rounds. Swapping a member meanwhile would stop a
-/// group that serves, for the whole of its draining, where a replacement costs nothing.
+/// Their rows are freed within a few rounds. Replacing a single member meanwhile would stop a
+/// serving group while it drains, whereas replacing the whole group costs no downtime.
 fn capacity_is_pending(
     round: &Round<'_>,
     service: &ServiceState<'_>,
@@ -136,7 +134,7 @@
     } else {
         EndReason::MemberLost
     };
-    // Nothing is gained by waiting when a member has restarted: the group can't come back.
+    // A group with a restarted member can't recover by itself, so waiting gains nothing.
     let unrecoverable = restarted > 0 || !may_recover(group);
     if missing == 0 {
         end_damaged(round, service_index, index, reason);
@@ -161,7 +159,7 @@
     }
 }
 
-/// Members that have to be replaced; one that restarted is fit to be a member again.
+/// Number of members to replace; a restarted host can be a member again.
 pub(crate) fn replacements_needed(group: &Group<'_>) -> usize {
     let gone = group
         .faults
@@ -170,7 +168,7 @@
     gone.count()
 }
 
-/// Whether the group becomes whole if its silent members answer again.
+/// Whether the group becomes whole if its unreachable members answer again.
 pub(crate) fn may_recover(group: &Group<'_>) -> bool {
     group
         .faults
@@ -178,8 +176,8 @@
         .all(|(_, fault)| *fault == MemberFault::Unreachable)
 }
 
-/// Whether acting at `cost` now is expected to cost less downtime than waiting on for a
-/// return of this worth.
+/// Whether acting now, at `cost`, has less expected downtime than waiting longer for such a
+/// recovery.
 pub(crate) fn wait_is_over(
     round: &Round<'_>,
     group: &Group<'_>,
@@ -202,7 +200,7 @@
     Some(round.failure_scope_in(&entry.fabric_domain))
 }
 
-/// How long the member has been silent that was lost last.
+/// Time since the most recently lost member answered.
 fn silent_time(round: &Round<'_>, group: &Group<'_>) -> Duration {
     let hosts = group
         .faults
@@ -212,13 +210,13 @@
     silences.min().unwrap_or_default()
 }
 
-/// Spares of a fabric domain for one group.
+/// Spares of a fabric domain available to one group.
 enum Spares<'a> {
-    /// Enough that hold the weights.
+    /// Enough spares that hold the weights.
     Warm(Vec<&'a HostStatus>),
-    /// Enough, and these have to load first.
+    /// Enough spares, some of which have to load the weights first.
     Cold(Vec<&'a HostStatus>),
-    /// Enough, of which the rest are loading already.
+    /// Enough spares, of which the cold ones are already loading.
     Loading,
     TooFew,
 }
@@ -258,7 +256,7 @@
     Spares::Cold(free)
 }
 
-/// Keeps the hosts for the service and asks for those that are cold to be loaded.
+/// Reserves the hosts for the service and requests a load on the cold ones.
 fn request_warmup<'a>(round: &mut Round<'a>, service_index: usize, hosts: Vec<&'a HostStatus>) {
     reserve_hosts(round, &hosts);
     let weights = round.services[service_index].weights.clone();
@@ -284,8 +282,8 @@
 
 /// Completes stuck groups with spares of other fabric domains.
 ///
-/// Such a group is slow, which is better than none; where a whole group fits
-/// into one fabric domain, that is made instead.
+/// Such a group is slow, which is better than none; if a whole group fits into one fabric
+/// domain, that is formed instead.
 fn complete_across_domains(round: &mut Round<'_>) {
     for (service_index, index) in damaged(round) {
         let service = &round.services[service_index];
--- a/crates/group/src/plan/retire.rs
+++ b/crates/group/src/plan/retire.rs
@@ -1,4 +1,4 @@
-//! Ending groups that are not wanted, are replaced, or serve an old version.
+//! Ends groups that are surplus, replaced or outdated.
 
 use std::cmp::Reverse;
 
@@ -8,7 +8,7 @@
 use crate::plan::round::Round;
 use crate::rows::{EndReason, GroupPhase, parse_group_id};
 
-/// Ends groups of services that are gone, and those beyond the number wanted.
+/// Ends groups of services no longer configured, and groups beyond the desired number.
 pub(crate) fn end_surplus(round: &mut Round<'_>) {
     end_unconfigured(round);
     for service_index in 0..round.services.len() {
@@ -27,11 +27,10 @@
     }
 }
 
-/// Ends the worst groups of a service while enough others serve.
+/// Ends the lowest ranked groups of a service while enough others serve.
 ///
-/// A group that serves is ended only when as many as wanted still serve
-/// without it, and every node knows of them; so a replacement, whatever it is
-/// for, gets work before its predecessor ends.
+/// A serving group is ended only if the desired number still serves without it and every node
+/// knows of these, so that a replacement receives requests before its predecessor ends.
 fn end_excess(round: &mut Round<'_>, service_index: usize) {
     let service = &round.services[service_index];
     let mut counts = Counts::of(service);
@@ -63,14 +62,14 @@
     }
 }
 
-/// Groups of one service, counted once and not for each group that is looked at.
+/// Group counts of one service, computed once rather than for each group.
 #[derive(Clone, Copy, Debug)]
 struct Counts {
     formed: usize,
     serving: usize,
-    /// Those of the serving that every node knows of.
+    /// Serving groups that every node knows of.
     propagated: usize,
-    /// Those of the serving that need no replacement.
+    /// Serving groups that need no replacement.
     serving_durable: usize,
 }
 
@@ -86,23 +85,23 @@
 
     fn may_end(self, service: &ServiceState<'_>, group: &Group<'_>) -> bool {
         if group.is_serving() {
-            // One that few know of may be the replacement of another.
+            // A group that not every node knows of may be the replacement of another.
             return group.is_propagated() && self.propagated > service.desired;
         }
-        // A replacement on its way is kept until enough groups serve that need none.
+        // Keep a replacement in progress until enough groups serve that need none.
         let enough = if group.is_durable(service) {
             self.serving_durable
         } else {
             self.serving
         };
-        // Of those that don't serve yet, two for each that is missing may race.
+        // Two groups that don't serve yet may compete for each missing one.
         let others = self.formed - self.serving - 1;
         let missing = service.desired.saturating_sub(self.serving).max(1);
         enough >= service.desired || others >= 2 * missing
     }
 }
 
-/// Lower for groups that are ended first.
+/// Sort key: groups that rank lower are ended first.
 fn retention_rank(
     service: &ServiceState<'_>,
     group: &Group<'_>,
@@ -117,7 +116,7 @@
     )
 }
 
-/// Ends groups of an old version where there is no room to replace them first.
+/// Ends outdated groups where there is no capacity to replace them first.
 pub(crate) fn roll_out(round: &mut Round<'_>) {
     for service_index in 0..round.services.len() {
         let mut budget = rollout_budget(round, service_index);
@@ -128,7 +127,7 @@
             if budget == 0 || !group.is_formed() || !is_outdated(service, group) {
                 continue;
             }
-            // A group that can't come back costs no capacity; it is ended whatever the floor.
+            // Ending a group that can't recover costs no capacity, so the floor doesn't apply.
             let propagated_loss = usize::from(group.is_propagated());
             let kept = group.is_serving() || may_resume(round, group);
             if kept && propagated - propagated_loss < service.cfg.floor as usize {
@@ -144,17 +143,17 @@
     }
 }
 
-/// Whether a group that has stopped serving is expected back as it is: none of its members
-/// is known to be lost.
+/// Whether a group that has stopped serving is expected to resume: none of its members is known
+/// to be faulty.
 ///
-/// A moment in which its hosts don't answer is over much sooner than a load.
+/// A brief loss of responses ends much sooner than a load would.
 fn may_resume(round: &Round<'_>, group: &Group<'_>) -> bool {
     let down = round.now.saturating_duration_since(group.status.down_since);
     let members_healthy = group.health == GroupHealth::Starting;
     members_healthy && group.status.served && down <= round.policy.reform_timeout
 }
 
-/// How many groups may be between versions at once, less those that are.
+/// How many more groups may be ended for the rollout now.
 fn rollout_budget(round: &Round<'_>, service_index: usize) -> usize {
     let service = &round.services[service_index];
     if has_capacity(round, service) || is_replacing(round, service) {
@@ -170,8 +169,8 @@
     at_once.saturating_sub(under_way + round.formed_this_round(service.name).count())
 }
 
-/// Whether a replacement is on its way, or the hosts of a group replaced are about to make room
-/// for the next.
+/// Whether a replacement is in progress, or a replaced group is about to free its hosts for the
+/// next one.
 fn is_replacing(round: &Round<'_>, service: &ServiceState<'_>) -> bool {
     let formed = service.groups.iter().filter(|g| g.is_formed()).count();
     let releasing = |g: &Group<'_>| {
--- a/crates/group/src/plan/round.rs
+++ b/crates/group/src/plan/round.rs
@@ -1,4 +1,4 @@
-//! Working state of one round of planning.
+//! Working state of one planning round.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -16,8 +16,8 @@
 
 type Members<'a> = SmallVec<[&'a HostStatus; 8]>;
 
-/// Looks groups up by name, and remembers the last: neighbours in the order of names are
-/// mostly in one group.
+/// Looks up groups by name and caches the last one, since hosts with adjacent names are mostly in
+/// the same group.
 pub(crate) struct GroupLookup<'a> {
     view: &'a FleetView,
     last: Option<&'a GroupStatus>,
@@ -28,7 +28,7 @@
         GroupLookup { view, last: None }
     }
 
-    /// The group that the host's row names.
+    /// The group named in the host's row.
     pub(crate) fn find(&mut self, host: &HostStatus) -> Option<&'a GroupStatus> {
         let name = host.row.group.as_ref()?;
         if let Some(last) = self.last.filter(|last| last.row.group == *name) {
@@ -46,21 +46,22 @@
     pub(crate) now: Instant,
     pub(crate) actions: Vec<Action>,
     pub(crate) services: Vec<ServiceState<'a>>,
-    /// Hosts that may be taken, by fabric domain. Invariant: in order of their names.
+    /// Available hosts by fabric domain. Invariant: sorted by name.
     pub(crate) free: BTreeMap<&'a FabricDomain, Vec<&'a HostStatus>>,
-    /// Hosts by the group that their rows name; most groups are indexed from here without a
-    /// search for each member.
+    /// Hosts by the group named in their rows, so that most groups are indexed without a lookup
+    /// for each member.
     by_group: BTreeMap<&'a GroupId, Members<'a>>,
-    /// Hosts that don't answer, by fabric domain.
+    /// Number of hosts that don't answer probes, by fabric domain.
     unreachable: BTreeMap<&'a FabricDomain, usize>,
-    /// Hosts loading now or ordered to by this round.
+    /// Number of hosts that load now or are ordered to load by this round.
     pub(crate) loading: usize,
     pub(crate) transactions: usize,
-    /// Spares that load weights or are being released after it, by service and fabric domain.
+    /// Number of spares that load weights or are being released afterwards, by service and fabric
+    /// domain.
     pub(crate) warming: BTreeMap<(&'a str, &'a FabricDomain), usize>,
-    /// Spares that a broken group needs warm: the service's place in `services`, and the host.
+    /// Spares that a broken group needs warm: index into `services`, and the host.
     pub(crate) warmup_requests: Vec<(usize, &'a HostStatus)>,
-    /// Groups formed by this round: the service's place in `services`, and the index.
+    /// Groups formed by this round: index into `services`, and the group's index.
     formed: Vec<(usize, u32)>,
     next_epoch: Epoch,
 }
@@ -89,13 +90,13 @@
         round
     }
 
-    /// The epoch for the next group formed, above all that any host or group ever had.
+    /// Allocates an epoch, higher than any that a host or group has had.
     pub(crate) fn take_epoch(&mut self) -> Epoch {
         self.next_epoch += 1;
         self.next_epoch - 1
     }
 
-    /// Remembers a group that this round forms, so that it counts and its index is taken.
+    /// Records a group formed by this round, so that it is counted and its index is in use.
     pub(crate) fn record_formed(&mut self, service_index: usize, row: &GroupRow) {
         if row.phase != GroupPhase::Formed {
             return;
@@ -111,7 +112,7 @@
         }
     }
 
-    /// Indexes of the service's groups that this round forms.
+    /// Indexes of the service's groups formed by this round.
     pub(crate) fn formed_this_round(&self, service: &str) -> impl Iterator<Item = u32> + use<'_> {
         let position = self.services.iter().position(|w| w.name == service);
         let formed = self
@@ -121,7 +122,7 @@
         formed.map(|(_, index)| *index)
     }
 
-    /// Whether this round may write another transaction.
+    /// Whether this round may add another transaction.
     pub(crate) fn may_commit(&self) -> bool {
         self.transactions < self.policy.max_transactions
     }
@@ -132,23 +133,23 @@
         self.actions.push(action);
     }
 
-    /// Whether `count` more hosts may load. A group larger than the bound may load alone.
+    /// Whether `count` more hosts may load. A group larger than the limit may load alone.
     ///
-    /// Beyond what the weight store can feed at full speed more loads return
-    /// nothing sooner: two groups that share the store are both late, while one
-    /// after the other the first is back in half the time.
+    /// More concurrent loads than the weight store can serve at full speed don't help: two groups
+    /// that share the store both finish late, while one after the other the first finishes in half
+    /// the time.
     pub(crate) fn may_load(&self, count: usize) -> bool {
         count == 0 || self.loading == 0 || self.loading + count <= self.max_loads()
     }
 
-    /// Most hosts that load at once.
+    /// Maximum number of hosts that load concurrently.
     pub(crate) fn max_loads(&self) -> usize {
         let sustainable = self.view.store_rate.checked_div(self.view.host_rate);
         let sustainable = sustainable.map_or(usize::MAX, |sustainable| sustainable.max(1) as usize);
         self.policy.max_loads.min(sustainable)
     }
 
-    /// Whether the host answers, is listed as live and is not leaving.
+    /// Whether the host answers probes, is in the host list and is not leaving.
     pub(crate) fn is_healthy(&self, host: &HostStatus) -> bool {
         host.entry.is_some()
             && !host.is_leaving()
@@ -156,7 +157,7 @@
             && host.silent_for(self.now) <= self.policy.detection_timeout
     }
 
-    /// What kind of absence the silence of a host of this fabric domain belongs to.
+    /// Scope of a failure of a host in this fabric domain.
     pub(crate) fn failure_scope_in(&self, domain: &FabricDomain) -> FailureScope {
         let unreachable = self.unreachable.get(domain).copied().unwrap_or(0);
         if unreachable >= CORRELATED_HOSTS {
@@ -166,23 +167,23 @@
         }
     }
 
-    /// How long one host's load takes with `at_once` loads sharing the store.
+    /// Duration of one host's load while `at_once` loads share the store.
     pub(crate) fn load_time(&self, bytes: u64, at_once: usize) -> Duration {
         let rate = self.view.store_rate.max(1);
         let total = bytes.saturating_mul(at_once.max(1) as u64);
         Duration::from_millis(total.saturating_mul(1000) / rate)
     }
 
-    /// Takes hosts out of the free ones.
+    /// Removes hosts from the free ones.
     pub(crate) fn reserve(&mut self, domain: &FabricDomain, hosts: &[&HostStatus]) {
         if let Some(free) = self.free.get_mut(domain) {
             free.retain(|f| hosts.iter().all(|h| h.row.host != f.row.host));
         }
     }
 
-    /// Whether the group belongs to this region's planner.
+    /// Whether this region's planner owns the group.
     ///
-    /// Without this two planners would release each other's groups.
+    /// Without this check, planners of two regions would release each other's groups.
     pub(crate) fn is_owned(&self, group: &GroupStatus) -> bool {
         let listed = |id: &HostId| self.view.hosts.get(id).is_some_and(|h| h.entry.is_some());
         self.view.regions.len() <= 1 || group.row.members.iter().any(listed)
@@ -223,7 +224,7 @@
         }
     }
 
-    /// The host of a name, from the group's own hosts where possible.
+    /// Looks up a host, first among those bound to the group.
     fn member(&self, by_group: Option<&Members<'a>>, id: &HostId) -> Option<&'a HostStatus> {
         let own = by_group.and_then(|b| b.iter().copied().find(|h| h.row.host == *id));
         own.or_else(|| self.view.hosts.get(id))
@@ -242,7 +243,7 @@
         }
     }
 
-    /// Whether the host loads weights, or will as soon as its order arrives.
+    /// Whether the host loads weights, or will once its order arrives.
     fn is_loading(&self, host: &HostStatus, group: Option<&GroupStatus>) -> bool {
         let Some(group) = group.filter(|g| g.is_live() && host.is_bound_to(&g.row)) else {
             return false;
@@ -251,16 +252,16 @@
         answers && !group.served && !host.is_warm(&group.row.weights())
     }
 
-    /// Whether the host may become a member: its row is free and it says itself that it holds
-    /// nothing. A host that came back with an old placement has to leave that first.
+    /// Whether the host may become a member: its row is free and it reports no placement. A host
+    /// that returned with an old placement has to leave it first.
     fn is_available(&self, host: &HostStatus) -> bool {
         let empty = host.report.as_ref().is_some_and(|r| r.placement.is_none());
         let orderable = self.may_order(&host.row.host);
         host.row.group.is_none() && empty && orderable && self.is_healthy(host)
     }
 
-    /// Whether the host may be ordered: one that doesn't check fencing numbers only when no
-    /// order of the planner before can be under way.
+    /// Whether orders may be sent to the host. One that doesn't check fencing tokens gets none
+    /// while an order of the previous planner may be in flight.
     pub(crate) fn may_order(&self, host: &HostId) -> bool {
         self.now >= self.view.quiet_until || self.view.config.checks_orders(host)
     }
@@ -295,15 +296,14 @@
         states
     }
 
-    /// Groups of a service that this region is to have: index I belongs to the region that
-    /// is I-th in order, counted round.
+    /// Number of a service's groups in this region; indexes are assigned to regions round-robin.
     fn region_share(&self, groups: u32) -> usize {
         let regions = self.view.regions.len().max(1);
         let own = self.region_index();
         (0..groups as usize).filter(|i| i % regions == own).count()
     }
 
-    /// Place of this region among all.
+    /// Index of this region among all regions.
     pub(crate) fn region_index(&self) -> usize {
         let mut regions = self.view.regions.iter();
         let found = regions.position(|r| *r == self.view.region);
--- a/crates/group/src/plan/view.rs
+++ b/crates/group/src/plan/view.rs
@@ -1,4 +1,4 @@
-//! What the planner knows of its region.
+//! The planner's view of its region.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,90 +14,89 @@
 use crate::plan::recovery::{FailureScope, Recovery, RecoveryModel};
 use crate::rows::{GroupPhase, GroupRow, HostRow};
 
-/// So many silent hosts of one fabric domain count as one event that hit the domain.
+/// Number of missing hosts of one fabric domain from which their failures count as correlated.
 pub(crate) const CORRELATED_HOSTS: usize = 4;
 
-/// What is known of one host.
+/// Observed state of one host.
 #[derive(Clone, Debug)]
 pub struct HostStatus {
-    /// Its line in the host list; `None` when the list doesn't have it.
+    /// Its entry in the host list; `None` if not listed.
     pub entry: Option<HostEntry>,
-    /// Its row, or that of a host never bound.
+    /// Its row; that of a host never bound if it has none.
     pub row: HostRow,
-    /// The row's version; 0 while it has none.
+    /// The row's version; 0 if it has none.
     pub row_version: RowVersion,
-    /// When this view first saw this version of the row.
+    /// When this row version was first observed.
     pub row_since: Instant,
     /// Its newest report.
     pub report: Option<HostReport>,
-    /// When the probe was sent that the report answers.
+    /// When the probe that returned the report was sent.
     pub probe_sent: Option<Instant>,
-    /// When this view first heard of it.
+    /// When the host was first observed.
     pub first_seen: Instant,
-    /// When a `Join` was last sent to it by this planner.
+    /// When this planner last sent it a `Join`.
     pub join_sent: Option<Instant>,
-    /// The order last sent to it by this planner, and when.
+    /// The last order that this planner sent to it, and when.
     pub order_sent: Option<(OrderKind, Epoch, Instant)>,
 }
 
-/// What is known of one group.
+/// Observed state of one group.
 #[derive(Clone, Debug)]
 pub struct GroupStatus {
     /// Its row.
     pub row: GroupRow,
     /// The row's version.
     pub row_version: RowVersion,
-    /// When this view first saw this epoch and phase.
+    /// When this epoch and phase were first observed.
     pub since: Instant,
-    /// Whether evidence says that it serves.
+    /// Whether it serves, according to the evidence.
     pub serving: bool,
-    /// Whether it has served in this epoch, as far as this view knows.
+    /// Whether it was observed to serve in this epoch.
     pub served: bool,
-    /// Since when it has not served, while it doesn't.
+    /// Since when it hasn't served; valid while it doesn't.
     pub down_since: Instant,
-    /// Since when it has served, while it does.
+    /// Since when it has served; valid while it does.
     pub up_since: Instant,
-    /// A member that restarted after this epoch had been whole.
+    /// A member that restarted after this epoch was whole.
     pub restarted: Option<HostId>,
 }
 
-/// What the planner of one region knows, kept up to date by events.
+/// The view of one region's planner, updated by events.
 ///
-/// Rows are taken as read: a view that lags behind the table costs a failed
-/// transaction and never a wrong one, since every change expects the versions
-/// that are kept here.
+/// A view that lags behind the table leads to a failed transaction and never to a wrong one, since
+/// the row versions kept here are preconditions of every transaction.
 #[derive(Clone, Debug)]
 pub struct FleetView {
     /// The planner's node.
     pub node: NodeId,
-    /// The region that is planned.
+    /// The planned region.
     pub region: Region,
-    /// All regions of the host list.
+    /// All regions in the host list.
     pub regions: BTreeSet<Region>,
     /// The accepted configuration.
     pub config: Arc<Config>,
-    /// Hosts of the region, and others that a group of the region still binds.
+    /// Hosts of the region, and others still bound to a group of the region.
     pub hosts: BTreeMap<HostId, HostStatus>,
     /// Groups by name.
     pub groups: BTreeMap<GroupId, GroupStatus>,
-    /// Groups that each service needs for its demand now.
+    /// Number of groups that each service needs for its current demand.
     pub demand: BTreeMap<ServiceName, u32>,
     /// Size of each model version in the weight store, in bytes.
     pub weights: BTreeMap<SmolStr, u64>,
-    /// What the weight store gives to all loads together, in bytes a second.
+    /// Throughput of the weight store over all loads, in bytes per second.
     pub store_rate: u64,
-    /// What one host loads at most, in bytes a second; 0 while it is not known.
+    /// Maximum load rate of one host, in bytes per second; 0 if unknown.
     pub host_rate: u64,
-    /// Until when an order of the planner before may be under way; see [`crate::Takeover`].
+    /// Until when an order of the previous planner may be in flight; see [`crate::Takeover`].
     pub quiet_until: Instant,
-    /// How long missing hosts stay away.
+    /// Distribution of failure durations.
     pub recovery_model: RecoveryModel,
-    /// Silence after which a host counts as missing.
+    /// Time without a probe response after which a host counts as missing.
     pub detection_timeout: Duration,
 }
 
 impl FleetView {
-    /// A view that knows only the configuration.
+    /// Creates a view that contains only the configuration.
     pub fn new(
         node: impl Into<NodeId>,
         region: impl Into<Region>,
@@ -121,7 +120,7 @@
         }
     }
 
-    /// Takes a reading of the whole host list.
+    /// Updates the view from the complete host list.
     pub fn on_host_list(&mut self, entries: &[HostEntry], now: Instant) {
         self.regions = entries.iter().map(|e| e.region.clone()).collect();
         let mut listed = BTreeSet::new();
@@ -143,7 +142,7 @@
         }
     }
 
-    /// Takes a reading of a host's row.
+    /// Updates a host from its row.
     pub fn on_host_row(&mut self, row: &HostRow, version: RowVersion, now: Instant) {
         let host = self.host_mut(&row.host, now);
         if version > host.row_version {
@@ -153,7 +152,7 @@
         }
     }
 
-    /// Takes a reading of a group's row.
+    /// Updates a group from its row.
     pub fn on_group_row(&mut self, row: &GroupRow, version: RowVersion, now: Instant) {
         let fresh = || GroupStatus {
             row: row.clone(),
@@ -188,12 +187,12 @@
         group.row_version = version;
     }
 
-    /// Notes that a group's row is gone, as a scan of all group rows shows.
+    /// Removes a group whose row a complete scan of the group rows no longer contains.
     pub fn on_group_gone(&mut self, group: &str) {
         self.groups.remove(group);
     }
 
-    /// Takes a host's answer to a probe that was sent at `sent`.
+    /// Records a host's report in response to a probe sent at `sent`.
     pub fn on_report(&mut self, report: &HostReport, sent: Instant) {
         let detection_timeout = self.detection_timeout;
         let Some(host) = self.hosts.get(&report.host) else {
@@ -215,19 +214,19 @@
         }
         if let Some(host) = self.hosts.get_mut(&report.host) {
             host.probe_sent = Some(sent);
-            // Most reports repeat the one before.
+            // Most reports equal the previous one.
             if host.report.as_ref() != Some(report) {
                 host.report = Some(report.clone());
             }
         }
     }
 
-    /// Takes what evidence says of a group's epoch: [`crate::EvidenceStore::serving`] and
-    /// [`crate::EvidenceStore::restarted`] of a store that hears all watchers of the group.
+    /// Records the evidence about a group's epoch: [`crate::EvidenceStore::serving`] and
+    /// [`crate::EvidenceStore::restarted`] of a store that receives all watchers' findings.
     ///
-    /// The planner's own probes are not enough. Another watcher may have found
-    /// the group whole just before a member restarted; it keeps the group out of
-    /// service from then on, and the planner would never learn why.
+    /// The planner's own probes are not enough. Another watcher may have found the group whole just
+    /// before a member restarted; it keeps the group out of service from then on, and the planner
+    /// would never see the reason.
     pub fn on_serving(
         &mut self,
         group: &str,
@@ -253,7 +252,7 @@
         facts.restarted = restarted.cloned();
     }
 
-    /// Notes that an order was sent.
+    /// Records that an order was sent.
     pub fn on_order_sent(&mut self, order: &Order, now: Instant) {
         let Some(host) = self.hosts.get_mut(&order.host) else {
             return;
@@ -264,7 +263,7 @@
         }
     }
 
-    /// What kind of absence a host's silence at `now` belongs to.
+    /// Scope of the failure that a host's silence at `now` belongs to.
     pub fn failure_scope(&self, host: &str, now: Instant) -> FailureScope {
         let domain = |h: &HostStatus| h.entry.as_ref().map(|e| e.fabric_domain.clone());
         let Some(own) = self.hosts.get(host).and_then(domain) else {
@@ -318,32 +317,32 @@
 }
 
 impl HostStatus {
-    /// How long it has not answered a probe.
+    /// Time since the last probe that it answered was sent.
     pub fn silent_for(&self, now: Instant) -> Duration {
         now.saturating_duration_since(self.probe_sent.unwrap_or(self.first_seen))
     }
 
-    /// Whether the list or the host itself says that it is leaving.
+    /// Whether the host list or the host's report marks it as leaving.
     pub fn is_leaving(&self) -> bool {
         let listed = self.entry.as_ref().map(|e| e.state);
         let said = self.report.as_ref().is_some_and(|r| r.leaving);
         listed == Some(HostState::Leaving) || said
     }
 
-    /// Whether it still holds the weights `MODEL@VERSION`.
+    /// Whether it holds the weights `MODEL@VERSION`.
     pub fn is_warm(&self, weights: &str) -> bool {
         let report = self.report.as_ref();
         report.is_some_and(|r| r.warm.iter().any(|w| w == weights))
     }
 
-    /// Whether its row binds it to this epoch of this group.
+    /// Whether its row binds it to this group in this epoch.
     pub fn is_bound_to(&self, row: &GroupRow) -> bool {
         self.row.epoch == row.epoch && self.row.group.as_ref() == Some(&row.group)
     }
 }
 
 impl GroupStatus {
-    /// Whether its row binds hosts that may work, for serving or for loading.
+    /// Whether its row still binds its hosts, for serving or for loading.
     pub fn is_live(&self) -> bool {
         self.row.phase != GroupPhase::Ending
     }
--- a/crates/group/src/plan/warm.rs
+++ b/crates/group/src/plan/warm.rs
@@ -1,4 +1,4 @@
-//! Loading weights on spares, so that a lost member can be replaced without a load.
+//! Loads weights on spares, so that a lost member can be replaced without a load.
 
 use eelgrassmill_base::FabricDomain;
 
@@ -8,8 +8,8 @@
 use crate::plan::view::HostStatus;
 use crate::rows::{GroupPhase, warming_group_id};
 
-/// Loads the spares that broken groups wait for and, while every group serves, idle ones
-/// where they mend most.
+/// Loads the spares that broken groups wait for and, while every group serves, idle spares where
+/// coverage is lowest.
 pub(crate) fn warm_spares(round: &mut Round<'_>) {
     if round.policy.strategy != RepairStrategy::CostBased {
         return;
@@ -26,10 +26,9 @@
     }
 }
 
-/// Loads one idle spare of a fabric domain that is warm for nothing.
+/// Loads one idle spare of a fabric domain that holds no configured model.
 ///
-/// Idle loading takes half of the bound at most: a repair that comes meanwhile
-/// finds the store free enough.
+/// Idle loads use at most half of the limit, which leaves bandwidth for a repair.
 fn warm_idle(round: &mut Round<'_>, domain: &FabricDomain) {
     if round.loading >= round.max_loads().div_ceil(2) {
         return;
@@ -44,7 +43,7 @@
     }
 }
 
-/// The service with the most members in the domain for each spare that is warm for it.
+/// The service with the most groups in the domain per warm or loading spare.
 fn least_covered(round: &Round<'_>, domain: &FabricDomain, free: &[&HostStatus]) -> Option<usize> {
     let members_per_spare = |service: &crate::plan::group::ServiceState<'_>| {
         let groups = service.groups.iter().filter(|g| g.is_formed());
@@ -66,7 +65,7 @@
 
 fn warm(round: &mut Round<'_>, service_index: usize, host: &HostStatus) {
     let group = warming_group_id(round.services[service_index].name, &host.row.host);
-    // A row of an earlier warming is removed first.
+    // The row of an earlier load is removed first.
     if round.view.groups.contains_key(&group) {
         return;
     }
