--- a/crates/group/src/plan/preempt.rs
+++ b/crates/group/src/plan/preempt.rs
@@ -49,7 +49,7 @@
 }
 
 fn preemption_in_progress(round: &Round<'_>) -> bool {
-    let mut groups = round.services.iter().flat_map(|w| &w.groups);
+    let mut groups = round.services.iter().flat_map(|s| &s.groups);
     groups.any(|g| is_releasing(g) && g.status.row.reason == Some(EndReason::Yield))
 }
 
--- a/crates/group/src/plan/reconcile.rs
+++ b/crates/group/src/plan/reconcile.rs
@@ -238,7 +238,7 @@
 
 /// Deletes the row of a group that won't be re-formed and that binds no host.
 fn remove_if_finished(round: &mut Round<'_>, group: &GroupStatus) {
-    let configured = round.services.iter().any(|w| *w.name == group.row.service);
+    let configured = round.services.iter().any(|s| *s.name == group.row.service);
     let reformable = configured && end::is_reformable(group.row.reason);
     let waiting = round.now.saturating_duration_since(group.since) < round.policy.reform_timeout;
     if (reformable && waiting) || !round.may_commit() {
--- a/crates/group/src/plan/retire.rs
+++ b/crates/group/src/plan/retire.rs
@@ -19,7 +19,7 @@
 fn end_unconfigured(round: &mut Round<'_>) {
     let view = round.view;
     for group in view.groups.values() {
-        let configured = round.services.iter().any(|w| *w.name == group.row.service);
+        let configured = round.services.iter().any(|s| *s.name == group.row.service);
         let formed = group.row.phase == GroupPhase::Formed;
         if formed && !configured && round.is_owned(group) {
             end_group(round, group, EndReason::Unwanted);
--- a/crates/group/src/plan/round.rs
+++ b/crates/group/src/plan/round.rs
@@ -114,7 +114,7 @@
 
     /// Indexes of the service's groups formed by this round.
     pub(crate) fn formed_this_round(&self, service: &str) -> impl Iterator<Item = u32> + use<'_> {
-        let position = self.services.iter().position(|w| w.name == service);
+        let position = self.services.iter().position(|s| s.name == service);
         let formed = self
             .formed
             .iter()
--- a/crates/group/src/plan/warm.rs
+++ b/crates/group/src/plan/warm.rs
@@ -17,7 +17,7 @@
     for (service_index, host) in std::mem::take(&mut round.warmup_requests) {
         warm(round, service_index, host);
     }
-    if round.services.iter().any(|w| w.serving() < w.desired) {
+    if round.services.iter().any(|s| s.serving() < s.desired) {
         return;
     }
     let domains: Vec<&FabricDomain> = round.free.keys().copied().collect();
@@ -34,7 +34,7 @@
         return;
     }
     let free: Vec<&HostStatus> = round.free.get(domain).cloned().unwrap_or_default();
-    let is_useful = |h: &HostStatus| round.services.iter().any(|w| h.is_warm(&w.weights));
+    let is_useful = |h: &HostStatus| round.services.iter().any(|s| h.is_warm(&s.weights));
     let Some(host) = free.iter().copied().find(|h| !is_useful(h)) else {
         return;
     };
@@ -45,7 +45,7 @@
 
 /// The service with the most groups in the domain per warm or loading spare.
 fn least_covered(round: &Round<'_>, domain: &FabricDomain, free: &[&HostStatus]) -> Option<usize> {
-    let members_per_spare = |service: &crate::plan::group::ServiceState<'_>| {
+    let groups_per_spare = |service: &crate::plan::group::ServiceState<'_>| {
         let groups = service.groups.iter().filter(|g| g.is_formed());
         let here = groups.filter(|g| g.domain == Some(domain)).count();
         let warm = free.iter().filter(|h| h.is_warm(&service.weights)).count();
@@ -57,7 +57,7 @@
         .services
         .iter()
         .enumerate()
-        .map(|(i, w)| (members_per_spare(w), i));
+        .map(|(i, s)| (groups_per_spare(s), i));
     let best = scored.filter(|(score, _)| *score > 0);
     best.max_by_key(|(score, i)| (*score, std::cmp::Reverse(*i)))
         .map(|(_, i)| i)
