--- a/crates/group/examples/repair/cost.rs
+++ b/crates/group/examples/repair/cost.rs
@@ -8,16 +8,16 @@
 use eelgrassmill_config::RepairWeight;
 use eelgrassmill_group::{Evidence, EvidenceStore, GroupWatch, RepairPolicy, Verdict, plan};
 
-use crate::fake::{Fake, Fault};
 use crate::fleets::Fleet;
+use crate::sim::{Fault, Simulation};
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
-struct Counting;
+struct CountingAllocator;
 
 // The only way to count allocations is to be the allocator; every call goes on to the system's.
 #[allow(unsafe_code)]
-unsafe impl GlobalAlloc for Counting {
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
         unsafe { System.alloc(layout) }
@@ -29,7 +29,7 @@
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 /// Time and allocations of one call.
 struct Cost {
@@ -60,8 +60,8 @@
         "\ncost of one call as groups grow tenfold: time, allocations (ratio to the row before)"
     );
     let mut before: Option<Vec<Cost>> = None;
-    for tenth in [1, 10, 100] {
-        let costs = costs_at(tenth);
+    for scale in [1, 10, 100] {
+        let costs = costs_at(scale);
         let names = [
             "plan, quiet",
             "plan, 2 hosts dead",
@@ -75,7 +75,7 @@
                 format!("x{time:.1}, x{allocations:.1}")
             });
             let (time, made) = (cost.time, cost.allocations);
-            let groups = 11 * tenth;
+            let groups = 11 * scale;
             let ratio = ratio.unwrap_or_default();
             println!("{groups:>5} groups  {name:<22}{time:>12.1?}{made:>8}  {ratio}");
         }
@@ -83,59 +83,59 @@
     }
 }
 
-fn costs_at(tenth: usize) -> Vec<Cost> {
-    let fleet = Fleet::of_groups(11 * tenth);
-    let mut fake = fleet.form(RepairPolicy::new(RepairWeight::Downtime));
-    fake.warm_all();
+fn costs_at(scale: usize) -> Vec<Cost> {
+    let fleet = Fleet::of_groups(11 * scale);
+    let mut sim = fleet.form(RepairPolicy::new(RepairWeight::Downtime));
+    sim.warm_all();
     assert!(
-        plan(&fake.view, &fake.policy, fake.now).is_empty(),
+        plan(&sim.view, &sim.policy, sim.now).is_empty(),
         "not quiet"
     );
-    let quiet = cost_of(20, || {
-        black_box(plan(&fake.view, &fake.policy, fake.now));
+    let idle = cost_of(20, || {
+        black_box(plan(&sim.view, &sim.policy, sim.now));
     });
     for host in ["h0-00", "h0-09"] {
-        fake.suffer(host, Fault::Die);
+        sim.inject(host, Fault::Die);
     }
     // Up to the moment when they count as missing and are acted on.
-    let acts = |fake: &Fake| !plan(&fake.view, &fake.policy, fake.now).is_empty();
+    let has_actions = |sim: &Simulation| !plan(&sim.view, &sim.policy, sim.now).is_empty();
     for _ in 0..60 {
-        if acts(&fake) {
+        if has_actions(&sim) {
             break;
         }
-        fake.now += Duration::from_millis(500);
-        fake.observe();
+        sim.now += Duration::from_millis(500);
+        sim.observe();
     }
-    assert!(acts(&fake), "nothing was done about the dead hosts");
+    assert!(has_actions(&sim), "nothing was done about the dead hosts");
     let broken = cost_of(20, || {
-        black_box(plan(&fake.view, &fake.policy, fake.now));
+        black_box(plan(&sim.view, &sim.policy, sim.now));
     });
-    vec![quiet, broken, wholeness(&fake), evidence(&fake)]
+    vec![idle, broken, wholeness(&sim), evidence(&sim)]
 }
 
-fn wholeness(fake: &Fake) -> Cost {
-    let mut watches = fake.watches.clone();
+fn wholeness(sim: &Simulation) -> Cost {
+    let mut watches = sim.watches.clone();
     let last = watches
         .keys()
         .next_back()
         .cloned()
         .expect("groups were formed");
-    let mut now = fake.now;
+    let mut now = sim.now;
     cost_of(200, || {
         now += Duration::from_millis(1);
         let watch = watches.get_mut(&last).expect("as above");
         let host = watch.row().members[0].clone();
-        watch.on_report(&fake.hosts[&host].report(), now);
+        watch.on_report(&sim.hosts[&host].report(), now);
         black_box(watch.verdict(now));
     })
 }
 
-fn evidence(fake: &Fake) -> Cost {
+fn evidence(sim: &Simulation) -> Cost {
     let mut store = EvidenceStore::new();
-    fake.watches
+    sim.watches
         .values()
         .for_each(|watch: &GroupWatch| store.on_row(watch.row()));
-    let row = fake.watches.values().next_back().map(GroupWatch::row);
+    let row = sim.watches.values().next_back().map(GroupWatch::row);
     let row = row.expect("groups were formed");
     let mut sequence = 0;
     cost_of(200, || {
@@ -150,7 +150,7 @@
             verdict: Verdict::Whole,
             age: Duration::ZERO,
         };
-        store.on_evidence(&evidence, fake.now);
-        black_box(store.serving(&row.group, fake.now).is_ok());
+        store.on_evidence(&evidence, sim.now);
+        black_box(store.serving(&row.group, sim.now).is_ok());
     })
 }
--- a/crates/group/examples/repair/fleets.rs
+++ b/crates/group/examples/repair/fleets.rs
@@ -8,7 +8,7 @@
 use eelgrassmill_group::RepairPolicy;
 use smol_str::{SmolStr, format_smolstr};
 
-use crate::fake::{Fake, FakeHost, Store, entry};
+use crate::sim::{FakeHost, Simulation, Store, entry};
 
 const GB: u64 = 1_000_000_000;
 
@@ -133,7 +133,7 @@
 }
 
 /// The same 110 groups with 3 spares in each of the 18 fabric domains.
-pub(crate) fn spared() -> Fleet {
+pub(crate) fn with_spares() -> Fleet {
     let mut fleet = full();
     fleet.name = "spared";
     for (_, count) in &mut fleet.fabrics {
@@ -152,20 +152,20 @@
     }
 
     /// The fleet with all groups whole; spares have had ten minutes to load.
-    pub(crate) fn start(&self, policy: RepairPolicy) -> Fake {
-        let mut fake = self.form(policy);
+    pub(crate) fn start(&self, policy: RepairPolicy) -> Simulation {
+        let mut sim = self.form(policy);
         for _ in 0..1200 {
-            fake.step();
-            if fake.is_quiet() {
+            sim.step();
+            if sim.is_idle() {
                 break;
             }
         }
-        fake.totals = Default::default();
-        fake
+        sim.totals = Default::default();
+        sim
     }
 
     /// The fleet with all groups just formed.
-    pub(crate) fn form(&self, policy: RepairPolicy) -> Fake {
+    pub(crate) fn form(&self, policy: RepairPolicy) -> Simulation {
         let hosts = hosts(&self.fabrics, self.accelerators);
         let ids: Vec<SmolStr> = hosts.iter().map(|h| h.entry.id.clone()).collect();
         let checking = ids.iter().enumerate().filter(|(i, _)| i % 2 == 0);
@@ -173,25 +173,25 @@
             self.services.iter().cloned(),
             checking.map(|(_, id)| id.as_str()),
         );
-        let mut fake = Fake::new(hosts, config, &self.sizes, self.store, policy);
-        self.form_at_once(&mut fake);
-        fake
+        let mut sim = Simulation::new(hosts, config, &self.sizes, self.store, policy);
+        self.form_instantly(&mut sim);
+        sim
     }
 
     /// Forms the groups with loads that take no time and no bound, and then the usual ones.
-    fn form_at_once(&self, fake: &mut Fake) {
-        let rates = fake.store;
-        let bounds = (fake.policy.max_loads, fake.policy.max_transactions);
-        let strategy = fake.policy.strategy;
-        fake.policy.strategy = eelgrassmill_group::RepairStrategy::WaitForReturn;
-        fake.store.rate = u64::MAX / 1_000_000;
-        fake.store.host_rate = fake.store.rate;
-        fake.view.host_rate = 0;
-        (fake.policy.max_loads, fake.policy.max_transactions) = (10_000, 10_000);
-        fake.run(Duration::from_secs(20));
-        fake.store = rates;
-        fake.view.host_rate = rates.host_rate;
-        (fake.policy.max_loads, fake.policy.max_transactions) = bounds;
-        fake.policy.strategy = strategy;
+    fn form_instantly(&self, sim: &mut Simulation) {
+        let rates = sim.store;
+        let limits = (sim.policy.max_loads, sim.policy.max_transactions);
+        let strategy = sim.policy.strategy;
+        sim.policy.strategy = eelgrassmill_group::RepairStrategy::WaitForReturn;
+        sim.store.rate = u64::MAX / 1_000_000;
+        sim.store.host_rate = sim.store.rate;
+        sim.view.host_rate = 0;
+        (sim.policy.max_loads, sim.policy.max_transactions) = (10_000, 10_000);
+        sim.run(Duration::from_secs(20));
+        sim.store = rates;
+        sim.view.host_rate = rates.host_rate;
+        (sim.policy.max_loads, sim.policy.max_transactions) = limits;
+        sim.policy.strategy = strategy;
     }
 }
--- a/crates/group/examples/repair/scripts.rs
+++ b/crates/group/examples/repair/scripts.rs
@@ -2,12 +2,12 @@
 
 use std::borrow::Cow;
 
-use crate::fake::Fault;
 use crate::fleets::Fleet;
+use crate::sim::Fault;
 
 /// What a fault hits.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum Hit {
+pub(crate) enum FaultTarget {
     /// Member of a fabric domain's first, second, ... group, by rank.
     Member(usize, usize, usize),
     /// Host N of a fabric domain.
@@ -19,22 +19,22 @@
 }
 
 /// One line of a script: after so many seconds, this happens to those.
-pub(crate) type Line = (u64, Hit, Fault);
+pub(crate) type ScriptStep = (u64, FaultTarget, Fault);
 
 /// A fault script.
 pub(crate) struct Script {
     pub(crate) name: &'static str,
     /// Seconds that are played.
-    pub(crate) length: u64,
-    pub(crate) lines: Cow<'static, [Line]>,
+    pub(crate) duration: u64,
+    pub(crate) steps: Cow<'static, [ScriptStep]>,
 }
 
 use Fault::{Die, Leave, Pause, Restart};
-use Hit::{Fabric, Failure, Host, Member};
+use FaultTarget::{Fabric, Failure, Host, Member};
 
 /// All scripts for a fleet.
 pub(crate) fn scripts(fleet: &Fleet) -> Vec<Script> {
-    let mut all = fixed();
+    let mut all = fixed_scripts();
     all.push(ordinary_day(fleet));
     all
 }
@@ -51,7 +51,7 @@
     let failed = (9 * hosts.len()).div_ceil(880);
     let restarted = (180 * hosts.len()).div_ceil(880);
     let count = failed + restarted;
-    let mut lines = Vec::new();
+    let mut steps = Vec::new();
     for i in 0..count {
         // A stride without common factor visits no host twice and no domain in a row.
         let (fabric, n) = hosts[(i * 37 + 11) % hosts.len()];
@@ -61,21 +61,21 @@
             _ if i % 2 == 0 => Restart(45),
             _ => Leave(120),
         };
-        lines.push((at, Host(fabric, n), fault));
+        steps.push((at, Host(fabric, n), fault));
     }
     Script {
         name: "an ordinary day in an hour",
-        length: 3600,
-        lines: Cow::Owned(lines),
+        duration: 3600,
+        steps: Cow::Owned(steps),
     }
 }
 
-fn fixed() -> Vec<Script> {
+fn fixed_scripts() -> Vec<Script> {
     vec![
         Script {
             name: "short pauses",
-            length: 600,
-            lines: Cow::Borrowed(&[
+            duration: 600,
+            steps: Cow::Borrowed(&[
                 (10, Member(0, 0, 0), Pause(3)),
                 (60, Member(1, 0, 1), Pause(4)),
                 (120, Member(2, 0, 2), Pause(6)),
@@ -87,8 +87,8 @@
         },
         Script {
             name: "long pauses",
-            length: 900,
-            lines: Cow::Borrowed(&[
+            duration: 900,
+            steps: Cow::Borrowed(&[
                 (10, Member(0, 0, 1), Pause(60)),
                 (100, Member(2, 0, 3), Pause(200)),
                 (200, Member(4, 0, 0), Pause(120)),
@@ -96,13 +96,13 @@
         },
         Script {
             name: "one host dies",
-            length: 900,
-            lines: Cow::Borrowed(&[(10, Member(1, 0, 2), Die)]),
+            duration: 900,
+            steps: Cow::Borrowed(&[(10, Member(1, 0, 2), Die)]),
         },
         Script {
             name: "hosts restart",
-            length: 900,
-            lines: Cow::Borrowed(&[
+            duration: 900,
+            steps: Cow::Borrowed(&[
                 (10, Member(0, 0, 2), Restart(30)),
                 (150, Member(3, 0, 1), Restart(60)),
                 (300, Member(5, 1, 2), Restart(90)),
@@ -110,13 +110,13 @@
         },
         Script {
             name: "two die in one fabric domain",
-            length: 1200,
-            lines: Cow::Borrowed(&[(10, Member(0, 0, 0), Die), (12, Member(0, 1, 1), Die)]),
+            duration: 1200,
+            steps: Cow::Borrowed(&[(10, Member(0, 0, 0), Die), (12, Member(0, 1, 1), Die)]),
         },
         Script {
             name: "two groups miss hosts for long",
-            length: 1500,
-            lines: Cow::Borrowed(&[
+            duration: 1500,
+            steps: Cow::Borrowed(&[
                 (10, Member(2, 0, 0), Pause(600)),
                 (30, Member(2, 1, 0), Pause(900)),
                 (35, Host(2, 8), Pause(700)),
@@ -124,28 +124,28 @@
         },
         Script {
             name: "fabric domain dark, short",
-            length: 600,
-            lines: Cow::Borrowed(&[(10, Fabric(1), Pause(20))]),
+            duration: 600,
+            steps: Cow::Borrowed(&[(10, Fabric(1), Pause(20))]),
         },
         Script {
             name: "fabric domain dark, long",
-            length: 1500,
-            lines: Cow::Borrowed(&[(10, Fabric(1), Pause(600))]),
+            duration: 1500,
+            steps: Cow::Borrowed(&[(10, Fabric(1), Pause(600))]),
         },
         Script {
             name: "fabric domain loses power",
-            length: 1500,
-            lines: Cow::Borrowed(&[(10, Fabric(3), Restart(180))]),
+            duration: 1500,
+            steps: Cow::Borrowed(&[(10, Fabric(3), Restart(180))]),
         },
         Script {
             name: "failure domain dark",
-            length: 1200,
-            lines: Cow::Borrowed(&[(10, Failure(2), Pause(300))]),
+            duration: 1200,
+            steps: Cow::Borrowed(&[(10, Failure(2), Pause(300))]),
         },
         Script {
             name: "hosts are replaced",
-            length: 1500,
-            lines: Cow::Borrowed(&[
+            duration: 1500,
+            steps: Cow::Borrowed(&[
                 (10, Member(0, 0, 0), Leave(120)),
                 (100, Member(1, 0, 1), Leave(120)),
                 (200, Member(4, 0, 2), Leave(120)),
@@ -153,8 +153,8 @@
         },
         Script {
             name: "a death while another is mended",
-            length: 1200,
-            lines: Cow::Borrowed(&[
+            duration: 1200,
+            steps: Cow::Borrowed(&[
                 (10, Member(3, 0, 0), Die),
                 (16, Member(3, 0, 1), Pause(90)),
                 (25, Host(3, 8), Restart(40)),
--- a/crates/group/examples/repair/fake.rs
+++ b/crates/group/examples/repair/sim.rs
@@ -17,9 +17,9 @@
 /// Time between two rounds; hosts are probed and rows read once in each.
 pub(crate) const STEP: Duration = Duration::from_millis(500);
 /// Time until a transaction or an order is answered.
-const ANSWER: Duration = Duration::from_millis(50);
+const RESPONSE_TIME: Duration = Duration::from_millis(50);
 /// Most rounds of planning in one step.
-const MOST_ROUNDS: u32 = 8;
+const MAX_ROUNDS: u32 = 8;
 /// Models whose weights a host can hold at once.
 const WARM_LIMIT: usize = 2;
 /// How late the host list shows a change.
@@ -51,18 +51,18 @@
     /// Bytes that it has yet to load for its placement.
     pub(crate) to_load: u64,
     /// Until when it doesn't run; `None` while it runs.
-    pub(crate) away_until: Option<Instant>,
+    pub(crate) down_until: Option<Instant>,
     /// Whether it comes back empty.
-    empty_on_return: bool,
+    loses_state: bool,
     /// Whether and when the host list changes its line.
     listing: Option<(Instant, Option<HostState>)>,
     listed: bool,
     /// When it goes after it was announced as leaving.
-    goes_at: Option<Instant>,
+    departs_at: Option<Instant>,
     report: Arc<HostReport>,
     running: u32,
     /// Whether it takes no orders.
-    pub(crate) deaf: bool,
+    pub(crate) ignores_orders: bool,
 }
 
 impl FakeHost {
@@ -80,7 +80,7 @@
         FakeHost {
             report,
             running: 0,
-            deaf: false,
+            ignores_orders: false,
             entry,
             incarnation: 1,
             placement: None,
@@ -88,16 +88,16 @@
             checks_orders,
             warm: Vec::new(),
             to_load: 0,
-            away_until: None,
-            empty_on_return: false,
+            down_until: None,
+            loses_state: false,
             listing: None,
             listed: true,
-            goes_at: None,
+            departs_at: None,
         }
     }
 
     pub(crate) fn is_up(&self) -> bool {
-        self.away_until.is_none()
+        self.down_until.is_none()
     }
 
     pub(crate) fn is_ready(&self) -> bool {
@@ -113,14 +113,14 @@
     #[allow(dead_code)] // For the tests, which share this file.
     pub(crate) fn set_running(&mut self, running: u32) {
         self.running = running;
-        self.renew_report();
+        self.update_report();
     }
 
-    fn renew_report(&mut self) {
-        self.report = Arc::new(self.make_report());
+    fn update_report(&mut self) {
+        self.report = Arc::new(self.build_report());
     }
 
-    fn make_report(&self) -> HostReport {
+    fn build_report(&self) -> HostReport {
         HostReport {
             host: self.entry.id.clone(),
             incarnation: self.incarnation,
@@ -135,7 +135,7 @@
 
     /// Obeys an order, or refuses it if it checks orders and has obeyed a higher fence.
     pub(crate) fn obey(&mut self, order: &Order, load_bytes: u64) {
-        if self.deaf || (self.checks_orders && order.fence < self.fence) {
+        if self.ignores_orders || (self.checks_orders && order.fence < self.fence) {
             return;
         }
         self.fence = self.fence.max(order.fence);
@@ -151,7 +151,7 @@
                 }
             }
         }
-        self.renew_report();
+        self.update_report();
     }
 
     fn join(&mut self, placement: &Placement, load_bytes: u64) {
@@ -178,45 +178,45 @@
             let excess = self.warm.len().saturating_sub(WARM_LIMIT);
             self.warm.drain(..excess);
         }
-        self.renew_report();
+        self.update_report();
     }
 
     /// Whether nothing is about to happen to it.
-    fn is_quiet(&self) -> bool {
-        self.is_up() && self.to_load == 0 && self.listing.is_none() && self.goes_at.is_none()
+    fn is_idle(&self) -> bool {
+        self.is_up() && self.to_load == 0 && self.listing.is_none() && self.departs_at.is_none()
     }
 
-    pub(crate) fn go(&mut self, until: Instant, empty: bool) {
-        self.away_until = Some(until);
-        self.empty_on_return = empty;
+    pub(crate) fn go_down(&mut self, until: Instant, empty: bool) {
+        self.down_until = Some(until);
+        self.loses_state = empty;
     }
 
-    pub(crate) fn suffer(&mut self, fault: Fault, now: Instant) {
+    pub(crate) fn inject(&mut self, fault: Fault, now: Instant) {
         let after = |s| now + Duration::from_secs(s);
         let never = after(1_000_000);
         match fault {
-            Fault::Pause(s) => self.go(after(s), false),
-            Fault::Restart(s) => self.go(after(s), true),
+            Fault::Pause(s) => self.go_down(after(s), false),
+            Fault::Restart(s) => self.go_down(after(s), true),
             Fault::Die => {
-                self.go(never, true);
+                self.go_down(never, true);
                 self.listing = Some((after(120), None));
             }
             Fault::Leave(s) => {
                 self.listing = Some((now + LIST_LAG, Some(HostState::Leaving)));
-                self.goes_at = Some(after(s));
+                self.departs_at = Some(after(s));
             }
         }
     }
 
     /// Lets time pass; whether its line in the host list changed.
-    pub(crate) fn pass(&mut self, now: Instant) -> bool {
-        if self.goes_at.is_some_and(|at| now >= at) {
-            self.goes_at = None;
-            self.go(now + Duration::from_secs(300), true);
+    pub(crate) fn advance(&mut self, now: Instant) -> bool {
+        if self.departs_at.is_some_and(|at| now >= at) {
+            self.departs_at = None;
+            self.go_down(now + Duration::from_secs(300), true);
             self.listing = Some((now + LIST_LAG, None));
         }
-        if self.away_until.is_some_and(|at| now >= at) {
-            self.come_back(now);
+        if self.down_until.is_some_and(|at| now >= at) {
+            self.come_up(now);
         }
         if let Some((at, state)) = self.listing
             && now >= at
@@ -229,15 +229,15 @@
         false
     }
 
-    fn come_back(&mut self, now: Instant) {
-        self.away_until = None;
-        if self.empty_on_return {
+    fn come_up(&mut self, now: Instant) {
+        self.down_until = None;
+        if self.loses_state {
             self.incarnation += 1;
             self.placement = None;
             self.to_load = 0;
             self.warm.clear();
             self.fence = 0;
-            self.renew_report();
+            self.update_report();
         }
         if !self.listed {
             self.listing = Some((now + LIST_LAG, Some(HostState::Live)));
@@ -266,7 +266,7 @@
     /// Most transactions in one round.
     pub(crate) max_transactions: u64,
     /// Most hosts that loaded at once.
-    pub(crate) most_loads: u64,
+    pub(crate) max_loads: u64,
 }
 
 impl Totals {
@@ -276,13 +276,13 @@
         self.stranded += run.stranded;
         self.transactions += run.transactions;
         self.max_transactions = self.max_transactions.max(run.max_transactions);
-        self.most_loads = self.most_loads.max(run.most_loads);
+        self.max_loads = self.max_loads.max(run.max_loads);
     }
 }
 
 /// Hosts, a table and one planner.
 #[derive(Clone)]
-pub(crate) struct Fake {
+pub(crate) struct Simulation {
     pub(crate) now: Instant,
     pub(crate) hosts: BTreeMap<HostId, FakeHost>,
     pub(crate) rows: BTreeMap<SmolStr, (u64, RowValue)>,
@@ -296,20 +296,20 @@
     idle_steps: u32,
 }
 
-impl Fake {
+impl Simulation {
     pub(crate) fn new(
         hosts: Vec<FakeHost>,
         config: Config,
         sizes: &[(SmolStr, u64)],
         store: Store,
         policy: RepairPolicy,
-    ) -> Fake {
+    ) -> Simulation {
         let now = Instant::now() + Duration::from_secs(1000);
         let mut view = FleetView::new("n1", "region-1", Arc::new(config), now);
         view.weights = sizes.iter().cloned().collect();
         view.store_rate = store.rate;
         view.host_rate = store.host_rate;
-        Fake {
+        Simulation {
             now,
             hosts: hosts.into_iter().map(|h| (h.entry.id.clone(), h)).collect(),
             rows: BTreeMap::new(),
@@ -326,19 +326,19 @@
     /// One step: time passes, hosts are probed, rows are read, and the plan is carried out.
     ///
     /// The planner goes on as soon as a transaction or order is answered, which
-    /// takes [`ANSWER`], and doesn't wait for the next probe.
+    /// takes [`RESPONSE_TIME`], and doesn't wait for the next probe.
     pub(crate) fn step(&mut self) -> Vec<Action> {
         let next = self.now + STEP;
-        self.pass();
+        self.advance();
         self.observe();
         let mut all = Vec::new();
-        for _ in 0..MOST_ROUNDS {
+        for _ in 0..MAX_ROUNDS {
             let actions = plan(&self.view, &self.policy, self.now);
             if actions.is_empty() {
                 break;
             }
-            self.now += ANSWER;
-            self.carry_out(&actions);
+            self.now += RESPONSE_TIME;
+            self.execute(&actions);
             self.read_rows();
             all.extend(actions);
         }
@@ -364,38 +364,38 @@
         let all: Vec<SmolStr> = self.view.weights.keys().cloned().collect();
         for host in self.hosts.values_mut() {
             host.warm.clone_from(&all);
-            host.renew_report();
+            host.update_report();
         }
         self.now += STEP;
         self.observe();
     }
 
     /// Whether nothing will happen until the next fault.
-    pub(crate) fn is_quiet(&self) -> bool {
+    pub(crate) fn is_idle(&self) -> bool {
         let settled = self.view.groups.values().all(|g| g.is_live() && g.serving);
-        self.idle_steps > 4 && settled && self.hosts.values().all(FakeHost::is_quiet)
+        self.idle_steps > 4 && settled && self.hosts.values().all(FakeHost::is_idle)
     }
 
-    pub(crate) fn suffer(&mut self, host: &str, fault: Fault) {
+    pub(crate) fn inject(&mut self, host: &str, fault: Fault) {
         let now = self.now;
         if let Some(host) = self.hosts.get_mut(host) {
-            host.suffer(fault, now);
+            host.inject(fault, now);
         }
     }
 
-    fn pass(&mut self) {
+    fn advance(&mut self) {
         let now = self.now;
         let loading = |h: &&mut FakeHost| h.is_up() && h.to_load > 0;
         let count = self.hosts.values_mut().filter(loading).count() as u64;
         let each = self.store.host_rate.min(self.store.rate / count.max(1));
         let bytes = each * STEP.as_millis() as u64 / 1000;
         for host in self.hosts.values_mut() {
-            self.list_changed |= host.pass(now);
+            self.list_changed |= host.advance(now);
             if host.is_up() && host.to_load > 0 {
                 host.load(bytes);
             }
         }
-        self.totals.most_loads = self.totals.most_loads.max(count);
+        self.totals.max_loads = self.totals.max_loads.max(count);
     }
 
     /// Brings the view up to date, as the node crate does with real answers.
@@ -463,7 +463,7 @@
         }
     }
 
-    pub(crate) fn carry_out(&mut self, actions: &[Action]) {
+    pub(crate) fn execute(&mut self, actions: &[Action]) {
         let mut transactions = 0;
         for action in actions {
             if let Some(transaction) = action.transaction() {
--- a/crates/group/tests/evidence.rs
+++ b/crates/group/tests/evidence.rs
@@ -50,7 +50,7 @@
     Verdict::Missing { host, reason }
 }
 
-fn say(watcher: &str, sequence: u64, epoch: u64, verdict: Verdict, age: Duration) -> Evidence {
+fn evidence(watcher: &str, sequence: u64, epoch: u64, verdict: Verdict, age: Duration) -> Evidence {
     Evidence {
         watcher: watcher.into(),
         incarnation: 1,
@@ -65,49 +65,49 @@
 
 /// Each way in which a member can differ from the row, and what is found then.
 #[gtest]
-fn every_difference_from_the_row_is_found() {
+fn every_mismatch_with_the_row_is_detected() {
     let row = row(3);
     let now = Instant::now();
     let good = report(&row, "h1", 1);
-    let found = |second: HostReport, sent: Instant| {
+    let verdict_of = |second: HostReport, sent: Instant| {
         let reports = [Some((&good, now)), Some((&second, sent))];
         evaluate(&row, reports, &[1, 1], now)
     };
     let second = || report(&row, "h2", 1);
-    expect_that!(found(second(), now), eq(&Verdict::Whole));
+    expect_that!(verdict_of(second(), now), eq(&Verdict::Whole));
     let old = now - 1501 * MS;
     expect_that!(
-        found(second(), old),
+        verdict_of(second(), old),
         eq(&missing("h2", MissingReason::Silent))
     );
     let restarted = report(&row, "h2", 2);
     expect_that!(
-        found(restarted, now),
+        verdict_of(restarted, now),
         eq(&missing("h2", MissingReason::Restarted))
     );
     let mut loading = second();
     loading.ready = false;
     expect_that!(
-        found(loading, now),
+        verdict_of(loading, now),
         eq(&missing("h2", MissingReason::NotReady))
     );
-    let changes: [fn(&mut Placement); 4] = [
+    let mutations: [fn(&mut Placement); 4] = [
         |p| p.epoch = 2,
         |p| p.version = "2".into(),
         |p| p.group = "a/1".into(),
         |p| p.members.reverse(),
     ];
-    for change in changes {
+    for mutate in mutations {
         let mut other = second();
-        change(other.placement.as_mut().expect("placed"));
+        mutate(other.placement.as_mut().expect("placed"));
         expect_that!(
-            found(other, now),
+            verdict_of(other, now),
             eq(&missing("h2", MissingReason::Elsewhere))
         );
     }
     let misrouted = report(&row, "h9", 1);
     expect_that!(
-        found(misrouted, now),
+        verdict_of(misrouted, now),
         eq(&missing("h2", MissingReason::Silent))
     );
 }
@@ -115,7 +115,7 @@
 /// A member restarts between two probes and is told to join again, so that its
 /// report looks as before. The group was whole with its earlier start.
 #[gtest]
-fn a_watcher_remembers_which_start_of_a_member_was_whole() {
+fn a_watcher_detects_a_member_restart() {
     let row = row(3);
     let mut watch = GroupWatch::new(row.clone());
     let start = Instant::now();
@@ -145,7 +145,7 @@
 }
 
 #[gtest]
-fn evidence_serves_for_two_seconds() {
+fn evidence_expires_after_two_seconds() {
     let mut store = EvidenceStore::new();
     let now = Instant::now();
     expect_that!(store.serving("a/0", now), err(eq(&NotServing::Unknown)));
@@ -154,7 +154,7 @@
         store.serving("a/0", now),
         err(eq(&NotServing::NoEvidence { epoch: 3 }))
     );
-    store.on_evidence(&say("w1", 1, 3, Verdict::Whole, 500 * MS), now);
+    store.on_evidence(&evidence("w1", 1, 3, Verdict::Whole, 500 * MS), now);
     let serving = store.serving("a/0", now + 1500 * MS).expect("fresh");
     expect_that!((serving.epoch, serving.lead.as_str()), eq((3, "h1")));
     let age = 2001 * MS;
@@ -167,25 +167,25 @@
 /// Messages overtake each other, a watcher restarts, an old epoch's message was
 /// kept in a buffer. None of them may bring back a group that has stopped.
 #[gtest]
-fn nothing_late_revives_a_group() {
+fn late_messages_do_not_revive_a_group() {
     let mut store = EvidenceStore::new();
     let now = Instant::now();
     store.on_evidence(
-        &say("w1", 5, 3, missing("h2", MissingReason::Elsewhere), MS),
+        &evidence("w1", 5, 3, missing("h2", MissingReason::Elsewhere), MS),
         now,
     );
     let stopped = |store: &EvidenceStore| store.serving("a/0", now).is_err();
-    expect_false!(store.on_evidence(&say("w1", 4, 3, Verdict::Whole, MS), now));
+    expect_false!(store.on_evidence(&evidence("w1", 4, 3, Verdict::Whole, MS), now));
     expect_true!(stopped(&store));
-    let mut earlier_start = say("w1", 9, 3, Verdict::Whole, MS);
-    earlier_start.incarnation = 0;
-    expect_false!(store.on_evidence(&earlier_start, now));
-    expect_false!(store.on_evidence(&say("w2", 1, 2, Verdict::Whole, MS), now));
+    let mut earlier_incarnation = evidence("w1", 9, 3, Verdict::Whole, MS);
+    earlier_incarnation.incarnation = 0;
+    expect_false!(store.on_evidence(&earlier_incarnation, now));
+    expect_false!(store.on_evidence(&evidence("w2", 1, 2, Verdict::Whole, MS), now));
     expect_true!(stopped(&store));
     // An older finding of another watcher does not outweigh a newer one either.
-    store.on_evidence(&say("w2", 2, 3, Verdict::Whole, 100 * MS), now);
+    store.on_evidence(&evidence("w2", 2, 3, Verdict::Whole, 100 * MS), now);
     expect_true!(stopped(&store));
-    store.on_evidence(&say("w2", 3, 4, Verdict::Whole, MS), now);
+    store.on_evidence(&evidence("w2", 3, 4, Verdict::Whole, MS), now);
     expect_false!(stopped(&store));
     store.on_row(&row(3));
     expect_that!(store.epoch("a/0"), some(eq(4)));
@@ -194,12 +194,12 @@
 /// One watcher can't reach a host that another reaches; the host is there. A
 /// host's own word that it is elsewhere stops the group whoever hears it.
 #[gtest]
-fn silence_counts_less_than_a_word() {
+fn silence_counts_less_than_a_report() {
     let mut store = EvidenceStore::new();
     let now = Instant::now();
-    store.on_evidence(&say("w1", 1, 3, Verdict::Whole, 300 * MS), now);
+    store.on_evidence(&evidence("w1", 1, 3, Verdict::Whole, 300 * MS), now);
     store.on_evidence(
-        &say(
+        &evidence(
             "w2",
             1,
             3,
@@ -211,7 +211,7 @@
     expect_that!(store.serving("a/0", now), ok(anything()));
     let later = now + 500 * MS;
     store.on_evidence(
-        &say(
+        &evidence(
             "w2",
             2,
             3,
@@ -221,10 +221,10 @@
         later,
     );
     expect_that!(store.serving("a/0", later), err(anything()));
-    store.on_evidence(&say("w1", 2, 3, Verdict::Whole, 300 * MS), later);
+    store.on_evidence(&evidence("w1", 2, 3, Verdict::Whole, 300 * MS), later);
     expect_that!(store.serving("a/0", later), ok(anything()));
     store.on_evidence(
-        &say(
+        &evidence(
             "w2",
             3,
             3,
@@ -239,26 +239,26 @@
 /// A watcher saw the group whole before a member restarted; another began to
 /// watch after that and finds nothing wrong.
 #[gtest]
-fn a_restart_is_not_outweighed_by_another_watcher() {
+fn another_watcher_does_not_clear_a_restart() {
     let mut store = EvidenceStore::new();
     let now = Instant::now();
     store.on_evidence(
-        &say("w1", 1, 3, missing("h2", MissingReason::Restarted), MS),
+        &evidence("w1", 1, 3, missing("h2", MissingReason::Restarted), MS),
         now,
     );
-    store.on_evidence(&say("w2", 1, 3, Verdict::Whole, Duration::ZERO), now);
+    store.on_evidence(&evidence("w2", 1, 3, Verdict::Whole, Duration::ZERO), now);
     expect_that!(store.serving("a/0", now), err(anything()));
     expect_that!(store.restarted("a/0", 3), some(eq("h2")));
-    let mut next_start = say("w1", 1, 3, Verdict::Whole, Duration::ZERO);
-    next_start.incarnation = 2;
-    store.on_evidence(&next_start, now);
+    let mut next_incarnation = evidence("w1", 1, 3, Verdict::Whole, Duration::ZERO);
+    next_incarnation.incarnation = 2;
+    store.on_evidence(&next_incarnation, now);
     expect_that!(store.serving("a/0", now), ok(anything()));
 }
 
 /// A message waits three seconds in a buffer while the link is cut. By its
 /// sender's account it is fresh.
 #[gtest]
-fn the_way_counts_as_age() {
+fn delivery_delay_counts_as_age() {
     let mut ages = AgeEstimator::new();
     let start = Instant::now();
     let sender = SmolStr::from("w1");
--- a/crates/group/tests/failures.rs
+++ b/crates/group/tests/failures.rs
@@ -3,12 +3,12 @@
 //! The world's oracle looks at every step: no host in two groups, no group
 //! served without a host, no write by a planner that was replaced.
 
-#[path = "../examples/repair/fake.rs"]
-#[allow(dead_code)]
-mod fake;
 #[path = "../examples/repair/fleets.rs"]
 #[allow(dead_code)]
 mod fleets;
+#[path = "../examples/repair/sim.rs"]
+#[allow(dead_code)]
+mod sim;
 mod support;
 
 use std::time::Duration;
@@ -19,13 +19,13 @@
 use googletest::prelude::*;
 use smol_str::SmolStr;
 
-use crate::fake::Fault;
-use crate::support::world::{Weather, World};
+use crate::sim::Fault;
+use crate::support::cluster::{Cluster, TableFault};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Two fabric domains of five hosts and three groups of two; every other host checks orders.
-fn world() -> World {
+fn cluster() -> Cluster {
     let mut hosts = fleets::hosts(&[(0, 5), (1, 5)], 8);
     hosts
         .iter_mut()
@@ -38,21 +38,21 @@
         .collect();
     let services = [fleets::service("a", 2, 2, 1), fleets::service("b", 1, 2, 1)];
     let config = fleets::config(services, checking.iter().map(SmolStr::as_str));
-    let mut world = World::new(hosts, config, RepairPolicy::new(RepairWeight::Downtime));
+    let mut cluster = Cluster::new(hosts, config, RepairPolicy::new(RepairWeight::Downtime));
     assert!(
-        world.run_until(30 * SECOND, all_served),
+        cluster.run_until(30 * SECOND, all_served),
         "not formed at the start"
     );
-    world.run(10 * SECOND);
-    world
+    cluster.run(10 * SECOND);
+    cluster
 }
 
-fn all_served(world: &World) -> bool {
-    world.served().len() == 3
+fn all_served(cluster: &Cluster) -> bool {
+    cluster.served().len() == 3
 }
 
-fn group_at(world: &World, n: usize) -> GroupRow {
-    world
+fn group_at(cluster: &Cluster, n: usize) -> GroupRow {
+    cluster
         .table
         .groups()
         .nth(n)
@@ -60,13 +60,13 @@
         .expect("three groups were formed")
 }
 
-fn strike(world: &mut World, host: &str, fault: Fault) {
-    let now = world.now;
-    world
+fn inject_fault(cluster: &mut Cluster, host: &str, fault: Fault) {
+    let now = cluster.now;
+    cluster
         .hosts
         .get_mut(host)
         .expect("the host exists")
-        .suffer(fault, now);
+        .inject(fault, now);
 }
 
 fn join_of(row: &GroupRow, host: &str, fence: u64) -> Order {
@@ -89,13 +89,16 @@
 /// served from two seconds after, and serves again with a spare in its place.
 #[gtest]
 fn a_host_that_dies_is_replaced_by_a_spare() {
-    let mut world = world();
-    let row = group_at(&world, 0);
-    strike(&mut world, &row.members[1], Fault::Die);
-    world.run(2 * SECOND + SECOND / 4);
-    expect_that!(world.entry.serving(&row.group, world.now), err(anything()));
-    assert!(world.run_until(30 * SECOND, all_served));
-    let now = group_at(&world, 0);
+    let mut cluster = cluster();
+    let row = group_at(&cluster, 0);
+    inject_fault(&mut cluster, &row.members[1], Fault::Die);
+    cluster.run(2 * SECOND + SECOND / 4);
+    expect_that!(
+        cluster.entry.serving(&row.group, cluster.now),
+        err(anything())
+    );
+    assert!(cluster.run_until(30 * SECOND, all_served));
+    let now = group_at(&cluster, 0);
     expect_that!(now.epoch, gt(row.epoch));
     expect_that!(now.members, not(contains(eq(&row.members[1]))));
 }
@@ -104,68 +107,68 @@
 /// as if nothing had happened: it still says that it belongs to the old epoch.
 /// A caller would get half an answer if its word counted.
 #[gtest]
-fn a_host_that_returns_joins_nothing_by_its_own_word() {
-    let mut world = world();
-    let row = group_at(&world, 0);
+fn a_returning_host_must_leave_its_old_group() {
+    let mut cluster = cluster();
+    let row = group_at(&cluster, 0);
     let host = row.members[1].clone();
-    strike(&mut world, &host, Fault::Pause(20));
-    assert!(world.run_until(15 * SECOND, |w| all_served(w)
-        && w.table.groups().all(|g| !g.members.contains(&host))));
-    let away = |w: &World| !w.hosts[&host].is_up();
-    assert!(away(&world), "it was replaced only after it came back");
-    assert!(world.run_until(20 * SECOND, |w| !away(w)));
-    assert!(world.run_until(5 * SECOND, |w| w.hosts[&host].placement.is_none()));
-    expect_that!(world.served().len(), eq(3));
+    inject_fault(&mut cluster, &host, Fault::Pause(20));
+    assert!(cluster.run_until(15 * SECOND, |c| all_served(c)
+        && c.table.groups().all(|g| !g.members.contains(&host))));
+    let away = |c: &Cluster| !c.hosts[&host].is_up();
+    assert!(away(&cluster), "it was replaced only after it came back");
+    assert!(cluster.run_until(20 * SECOND, |c| !away(c)));
+    assert!(cluster.run_until(5 * SECOND, |c| c.hosts[&host].placement.is_none()));
+    expect_that!(cluster.served().len(), eq(3));
 }
 
 /// A member restarts within a second. Its probes hardly miss a beat, but it
 /// holds nothing any more, and the others talk to a process that is gone.
 #[gtest]
 fn a_member_that_restarts_ends_its_epoch() {
-    let mut world = world();
-    let row = group_at(&world, 0);
-    strike(&mut world, &row.members[0], Fault::Restart(1));
-    world.run(SECOND + SECOND / 2);
-    let denied = world.entry.serving(&row.group, world.now);
+    let mut cluster = cluster();
+    let row = group_at(&cluster, 0);
+    inject_fault(&mut cluster, &row.members[0], Fault::Restart(1));
+    cluster.run(SECOND + SECOND / 2);
+    let denied = cluster.entry.serving(&row.group, cluster.now);
     let gone = matches!(
         denied,
         Err(NotServing::Ending | NotServing::NoEvidence { .. } | NotServing::Missing { .. })
     );
     assert!(
-        gone || world.entry.epoch(&row.group) > Some(row.epoch),
+        gone || cluster.entry.epoch(&row.group) > Some(row.epoch),
         "{denied:?}"
     );
-    assert!(world.run_until(30 * SECOND, all_served));
-    expect_that!(group_at(&world, 0).epoch, gt(row.epoch));
+    assert!(cluster.run_until(30 * SECOND, all_served));
+    expect_that!(group_at(&cluster, 0).epoch, gt(row.epoch));
 }
 
 /// All hosts of a fabric domain go dark at once and come back after half a
 /// minute. Their groups must not be served meanwhile, and the rounds stay
 /// bounded; afterwards everything serves.
 #[gtest]
-fn a_dark_fabric_domain_stops_only_its_own_groups() {
-    let mut world = world();
-    let dark: Vec<SmolStr> = world
+fn an_unreachable_fabric_domain_stops_only_its_own_groups() {
+    let mut cluster = cluster();
+    let dark: Vec<SmolStr> = cluster
         .hosts
         .keys()
         .filter(|h| h.starts_with("h0"))
         .cloned()
         .collect();
-    let hit: Vec<SmolStr> = world
+    let hit: Vec<SmolStr> = cluster
         .table
         .groups()
         .filter(|g| dark.contains(&g.members[0]))
         .map(|g| g.group.clone())
         .collect();
     for host in &dark {
-        strike(&mut world, host, Fault::Pause(30));
+        inject_fault(&mut cluster, host, Fault::Pause(30));
     }
-    world.run(2 * SECOND + SECOND / 2);
+    cluster.run(2 * SECOND + SECOND / 2);
     for group in &hit {
-        expect_that!(world.served(), not(contains(eq(group))));
+        expect_that!(cluster.served(), not(contains(eq(group))));
     }
-    expect_that!(world.served().len(), eq(3 - hit.len()));
-    assert!(world.run_until(60 * SECOND, all_served));
+    expect_that!(cluster.served().len(), eq(3 - hit.len()));
+    assert!(cluster.run_until(60 * SECOND, all_served));
 }
 
 /// The planner is stopped between the check of its lease and the sending of a
@@ -173,24 +176,24 @@
 /// host into another group; then the old order leaves. A host that checks
 /// fencing numbers refuses it.
 #[gtest]
-fn a_late_order_is_refused_by_a_host_that_checks() {
-    let mut world = world();
-    let row = group_at(&world, 0);
-    let host = row.members.iter().find(|h| world.hosts[*h].checks_orders);
+fn a_host_that_checks_orders_refuses_a_late_one() {
+    let mut cluster = cluster();
+    let row = group_at(&cluster, 0);
+    let host = row.members.iter().find(|h| cluster.hosts[*h].checks_orders);
     let host = host.expect("every other host checks").clone();
-    let planner = world.planner().expect("somebody plans");
-    let order = join_of(&row, &host, world.hosts[&host].fence);
-    world.pause_with_order(planner, Some(order));
-    strike(&mut world, &host, Fault::Restart(3));
-    assert!(world.run_until(40 * SECOND, |w| w.planner() != Some(planner)));
-    assert!(world.run_until(40 * SECOND, all_served));
+    let planner = cluster.planner().expect("somebody plans");
+    let order = join_of(&row, &host, cluster.hosts[&host].fence);
+    cluster.pause_with_order(planner, Some(order));
+    inject_fault(&mut cluster, &host, Fault::Restart(3));
+    assert!(cluster.run_until(40 * SECOND, |c| c.planner() != Some(planner)));
+    assert!(cluster.run_until(40 * SECOND, all_served));
     // Its new placement came with a higher fence.
-    let placed = world.hosts[&host].placement.clone();
+    let placed = cluster.hosts[&host].placement.clone();
     assert_that!(placed.as_ref().map(|p| p.epoch), some(gt(row.epoch)));
-    world.resume(planner);
-    expect_that!(world.hosts[&host].placement, eq(&placed));
-    expect_that!(world.strays.len(), eq(1));
-    expect_that!(world.served().len(), eq(3));
+    cluster.resume(planner);
+    expect_that!(cluster.hosts[&host].placement, eq(&placed));
+    expect_that!(cluster.late_orders.len(), eq(1));
+    expect_that!(cluster.served().len(), eq(3));
 }
 
 /// The same with a host that obeys whoever speaks last. It is torn out of its
@@ -198,10 +201,10 @@
 /// order; the sender notices, the group is out of service within the age of
 /// evidence, and the planner brings the host back.
 #[gtest]
-fn a_late_order_to_a_host_that_does_not_check_stops_its_group() {
-    let mut world = world();
-    let obeys_all = |h: &&SmolStr| !world.hosts[*h].checks_orders;
-    let mut groups = world.table.groups();
+fn a_late_order_to_a_host_that_does_not_check_it_stops_the_group() {
+    let mut cluster = cluster();
+    let obeys_all = |h: &&SmolStr| !cluster.hosts[*h].checks_orders;
+    let mut groups = cluster.table.groups();
     let row = groups.find(|g| g.members.iter().any(|h| obeys_all(&h)));
     let row = row.expect("some hosts don't check").clone();
     drop(groups);
@@ -211,125 +214,125 @@
         .find(obeys_all)
         .expect("as above")
         .clone();
-    let planner = world.planner().expect("somebody plans");
+    let planner = cluster.planner().expect("somebody plans");
     let order = join_of(&row, &host, 1);
-    world.pause_with_order(planner, Some(order));
+    cluster.pause_with_order(planner, Some(order));
     let other = row
         .members
         .iter()
         .find(|h| **h != host)
         .expect("two members")
         .clone();
-    strike(&mut world, &other, Fault::Die);
-    assert!(world.run_until(60 * SECOND, |w| all_served(w)
-        && w.planner() != Some(planner)));
-    let placed = world.hosts[&host].placement.clone();
-    world.resume(planner);
-    expect_that!(world.strays.len(), eq(1), "the sender didn't notice");
+    inject_fault(&mut cluster, &other, Fault::Die);
+    assert!(cluster.run_until(60 * SECOND, |c| all_served(c)
+        && c.planner() != Some(planner)));
+    let placed = cluster.hosts[&host].placement.clone();
+    cluster.resume(planner);
+    expect_that!(cluster.late_orders.len(), eq(1), "the sender didn't notice");
     assert_that!(placed.as_ref().map(|p| p.epoch), some(gt(row.epoch)));
-    expect_that!(world.hosts[&host].placement, not(eq(&placed)));
+    expect_that!(cluster.hosts[&host].placement, not(eq(&placed)));
     let group = placed.map(|p| p.group).unwrap_or_default();
-    expect_true!(world.run_until(2 * SECOND, |w| !w.served().contains(&group)));
-    assert!(world.run_until(60 * SECOND, all_served));
+    expect_true!(cluster.run_until(2 * SECOND, |c| !c.served().contains(&group)));
+    assert!(cluster.run_until(60 * SECOND, all_served));
 }
 
 /// The table makes a write and its answer is lost, while a member has died.
 /// The planner reads the rows again and goes on from what they say.
 #[gtest]
-fn a_lost_answer_delays_a_repair_and_nothing_else() {
-    let mut world = world();
-    let row = group_at(&world, 0);
-    strike(&mut world, &row.members[0], Fault::Die);
+fn a_lost_response_only_delays_a_repair() {
+    let mut cluster = cluster();
+    let row = group_at(&cluster, 0);
+    inject_fault(&mut cluster, &row.members[0], Fault::Die);
     for _ in 0..12 {
-        world.table.weather = Some(Weather::AnswerLost);
-        world.run(SECOND / 2);
+        cluster.table.fault = Some(TableFault::ResponseLost);
+        cluster.run(SECOND / 2);
     }
-    assert!(world.run_until(30 * SECOND, all_served));
+    assert!(cluster.run_until(30 * SECOND, all_served));
 }
 
 /// A write is made seconds after its sender gave up on it. Its conditions no
 /// longer hold by then; made in spite of that it would bind hosts twice.
 #[gtest]
-fn a_late_write_changes_nothing_that_has_moved_on() {
-    let mut world = world();
-    let row = group_at(&world, 0);
-    strike(&mut world, &row.members[0], Fault::Die);
+fn a_delayed_write_fails_its_preconditions() {
+    let mut cluster = cluster();
+    let row = group_at(&cluster, 0);
+    inject_fault(&mut cluster, &row.members[0], Fault::Die);
     for _ in 0..8 {
-        world.table.weather = Some(Weather::Late(4 * SECOND));
-        world.run(SECOND / 2);
+        cluster.table.fault = Some(TableFault::Delayed(4 * SECOND));
+        cluster.run(SECOND / 2);
     }
-    assert!(world.run_until(40 * SECOND, all_served));
+    assert!(cluster.run_until(40 * SECOND, all_served));
 }
 
 /// The table is down for two minutes. Groups that are whole go on serving,
 /// since no write and no lease is needed for that. A member that dies
 /// meanwhile is replaced once the table is back.
 #[gtest]
-fn without_the_table_whole_groups_serve_and_nothing_is_formed() {
-    let mut world = world();
-    world.table.weather = Some(Weather::Down);
+fn whole_groups_serve_during_a_table_outage() {
+    let mut cluster = cluster();
+    cluster.table.fault = Some(TableFault::Unavailable);
     for _ in 0..240 {
-        world.run(SECOND / 2);
-        assert_that!(world.served().len(), eq(3));
+        cluster.run(SECOND / 2);
+        assert_that!(cluster.served().len(), eq(3));
     }
-    let row = group_at(&world, 0);
-    strike(&mut world, &row.members[0], Fault::Die);
-    world.run(30 * SECOND);
-    expect_that!(world.served().len(), eq(2));
-    world.table.weather = None;
-    assert!(world.run_until(60 * SECOND, all_served));
+    let row = group_at(&cluster, 0);
+    inject_fault(&mut cluster, &row.members[0], Fault::Die);
+    cluster.run(30 * SECOND);
+    expect_that!(cluster.served().len(), eq(2));
+    cluster.table.fault = None;
+    assert!(cluster.run_until(60 * SECOND, all_served));
 }
 
 /// One watcher is cut off from one host, the other is not. The host answers,
 /// so its callers should notice nothing.
 #[gtest]
-fn a_cut_between_one_watcher_and_a_host_stops_no_group() {
-    let mut world = world();
-    let host = group_at(&world, 0).members[0].clone();
-    let other = 1 - world.planner().expect("somebody plans");
-    world.cut = Some((other, host));
+fn a_partition_between_one_watcher_and_a_host_stops_no_group() {
+    let mut cluster = cluster();
+    let host = group_at(&cluster, 0).members[0].clone();
+    let other = 1 - cluster.planner().expect("somebody plans");
+    cluster.partition = Some((other, host));
     for _ in 0..40 {
-        world.run(SECOND / 4);
-        assert_that!(world.served().len(), eq(3));
+        cluster.run(SECOND / 4);
+        assert_that!(cluster.served().len(), eq(3));
     }
 }
 
 /// Evidence stops arriving, as when the entry is cut off from all watchers. It
 /// must not go on sending requests to groups of which it knows nothing.
 #[gtest]
-fn evidence_that_is_too_old_does_not_serve() {
-    let mut world = world();
-    world.evidence_delay = 60 * SECOND;
-    world.run(2 * SECOND + SECOND / 4);
-    expect_that!(world.served(), is_empty());
+fn a_group_without_recent_evidence_is_not_served() {
+    let mut cluster = cluster();
+    cluster.evidence_delay = 60 * SECOND;
+    cluster.run(2 * SECOND + SECOND / 4);
+    expect_that!(cluster.served(), is_empty());
     // What arrives late is as old as it is, and revives nothing.
-    world.run(70 * SECOND);
-    expect_that!(world.served(), is_empty());
+    cluster.run(70 * SECOND);
+    expect_that!(cluster.served(), is_empty());
 }
 
 /// The planner dies just when a host does. The host's group waits for the next
 /// planner, whose takeover waits for the lease; no other group is touched.
 #[gtest]
-fn the_planner_and_a_host_die_together() {
-    let mut world = world();
-    let row = group_at(&world, 0);
-    let planner = world.planner().expect("somebody plans");
-    world.pause_with_order(planner, None);
-    strike(&mut world, &row.members[0], Fault::Die);
-    world.run(6 * SECOND);
-    expect_that!(world.planner(), some(eq(planner)));
-    expect_that!(world.served().len(), eq(2));
-    assert!(world.run_until(30 * SECOND, all_served));
-    expect_that!(world.planner(), some(not(eq(planner))));
+fn the_planner_and_a_host_fail_together() {
+    let mut cluster = cluster();
+    let row = group_at(&cluster, 0);
+    let planner = cluster.planner().expect("somebody plans");
+    cluster.pause_with_order(planner, None);
+    inject_fault(&mut cluster, &row.members[0], Fault::Die);
+    cluster.run(6 * SECOND);
+    expect_that!(cluster.planner(), some(eq(planner)));
+    expect_that!(cluster.served().len(), eq(2));
+    assert!(cluster.run_until(30 * SECOND, all_served));
+    expect_that!(cluster.planner(), some(not(eq(planner))));
 }
 
 /// A host is announced as leaving. Its group keeps serving until another is
 /// whole, and then no group has the host.
 #[gtest]
-fn a_leaving_host_is_replaced_before_it_goes() {
-    let mut world = world();
-    let host = group_at(&world, 0).members[0].clone();
-    world
+fn a_leaving_host_is_replaced_before_it_leaves() {
+    let mut cluster = cluster();
+    let host = group_at(&cluster, 0).members[0].clone();
+    cluster
         .hosts
         .get_mut(&host)
         .expect("the host exists")
@@ -337,44 +340,44 @@
         .state = HostState::Leaving;
     let mut served = usize::MAX;
     for _ in 0..120 {
-        world.run(SECOND / 2);
-        served = served.min(world.served().len());
+        cluster.run(SECOND / 2);
+        served = served.min(cluster.served().len());
     }
     expect_that!(served, ge(3));
-    expect_true!(world.table.groups().all(|g| !g.members.contains(&host)));
+    expect_true!(cluster.table.groups().all(|g| !g.members.contains(&host)));
 }
 
 /// Two members of one group fail in different ways within a second.
 #[gtest]
 fn two_members_fail_at_once() {
-    let mut world = world();
-    let row = group_at(&world, 0);
-    strike(&mut world, &row.members[0], Fault::Restart(4));
-    world.run(SECOND / 2);
-    strike(&mut world, &row.members[1], Fault::Pause(9));
+    let mut cluster = cluster();
+    let row = group_at(&cluster, 0);
+    inject_fault(&mut cluster, &row.members[0], Fault::Restart(4));
+    cluster.run(SECOND / 2);
+    inject_fault(&mut cluster, &row.members[1], Fault::Pause(9));
     let silent = NotServing::Missing {
         host: row.members[1].clone(),
         reason: MissingReason::Silent,
     };
-    world.run(2 * SECOND + SECOND / 4);
+    cluster.run(2 * SECOND + SECOND / 4);
     expect_that!(
-        world.entry.serving(&row.group, world.now),
+        cluster.entry.serving(&row.group, cluster.now),
         not(ok(anything())),
         "{silent:?}"
     );
-    assert!(world.run_until(60 * SECOND, all_served));
+    assert!(cluster.run_until(60 * SECOND, all_served));
 }
 
 /// The planner itself is cut off from a host that everybody else reaches. The
 /// group serves; to replace it would load weights for nothing.
 #[gtest]
-fn a_cut_between_the_planner_and_a_host_changes_nothing() {
-    let mut world = world();
-    let before: Vec<GroupRow> = world.table.groups().cloned().collect();
+fn a_partition_between_the_planner_and_a_host_changes_nothing() {
+    let mut cluster = cluster();
+    let before: Vec<GroupRow> = cluster.table.groups().cloned().collect();
     let host = before[0].members[0].clone();
-    world.cut = world.planner().map(|planner| (planner, host));
-    world.run(20 * SECOND);
-    let after: Vec<GroupRow> = world.table.groups().cloned().collect();
+    cluster.partition = cluster.planner().map(|planner| (planner, host));
+    cluster.run(20 * SECOND);
+    let after: Vec<GroupRow> = cluster.table.groups().cloned().collect();
     expect_that!(after, eq(&before));
-    expect_that!(world.served().len(), eq(3));
+    expect_that!(cluster.served().len(), eq(3));
 }
--- a/crates/group/tests/fuzz.rs
+++ b/crates/group/tests/fuzz.rs
@@ -2,12 +2,12 @@
 //!
 //! `GROUP_FUZZ_CASES=2000 cargo test -p eelgrassmill-group --test fuzz` runs longer.
 
-#[path = "../examples/repair/fake.rs"]
-#[allow(dead_code)]
-mod fake;
 #[path = "../examples/repair/fleets.rs"]
 #[allow(dead_code)]
 mod fleets;
+#[path = "../examples/repair/sim.rs"]
+#[allow(dead_code)]
+mod sim;
 mod support;
 
 use std::time::Duration;
@@ -20,21 +20,21 @@
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 use smol_str::SmolStr;
 
-use crate::fake::Fault;
-use crate::support::world::{Weather, World};
+use crate::sim::Fault;
+use crate::support::cluster::{Cluster, TableFault};
 
 const HOSTS: usize = 7;
 
 #[derive(Clone, Debug)]
 enum Event {
-    Pass(u64),
+    Advance(u64),
     Host(usize, HostEvent),
     PauseNode(usize),
     ResumeNode(usize),
-    Weather(u8, u64),
+    TableFault(u8, u64),
     EvidenceDelay(u64),
-    Cut(usize, usize),
-    Mend,
+    Partition(usize, usize),
+    Heal,
     Leaving(usize, bool),
     Version(bool),
 }
@@ -62,14 +62,14 @@
             (1u64..6).prop_map(HostEvent::Restart),
         ];
         prop_oneof![
-            6 => (100u64..6000).prop_map(Event::Pass),
+            6 => (100u64..6000).prop_map(Event::Advance),
             3 => (0..HOSTS, host).prop_map(|(h, e)| Event::Host(h, e)),
             1 => (0usize..2).prop_map(Event::PauseNode),
             2 => (0usize..2).prop_map(Event::ResumeNode),
-            2 => (0u8..4, 100u64..9000).prop_map(|(w, ms)| Event::Weather(w, ms)),
+            2 => (0u8..4, 100u64..9000).prop_map(|(w, ms)| Event::TableFault(w, ms)),
             1 => (0u64..3000).prop_map(Event::EvidenceDelay),
-            1 => (0usize..2, 0..HOSTS).prop_map(|(n, h)| Event::Cut(n, h)),
-            1 => Just(Event::Mend),
+            1 => (0usize..2, 0..HOSTS).prop_map(|(n, h)| Event::Partition(n, h)),
+            1 => Just(Event::Heal),
             1 => (0..HOSTS, any::<bool>()).prop_map(|(h, leaving)| Event::Leaving(h, leaving)),
             1 => any::<bool>().prop_map(Event::Version),
         ]
@@ -79,13 +79,13 @@
     fn apply(_: (), _: &Event) {}
 }
 
-struct Promises;
+struct Invariants;
 
-impl StateMachineTest for Promises {
-    type SystemUnderTest = World;
+impl StateMachineTest for Invariants {
+    type SystemUnderTest = Cluster;
     type Reference = Events;
 
-    fn init_test(_: &()) -> World {
+    fn init_test(_: &()) -> Cluster {
         let mut hosts = fleets::hosts(&[(0, 4), (1, 3)], 8);
         hosts
             .iter_mut()
@@ -98,98 +98,99 @@
             .collect();
         let services = [fleets::service("a", 2, 2, 1), fleets::service("b", 1, 2, 1)];
         let config = fleets::config(services, checking.iter().map(SmolStr::as_str));
-        let mut world = World::new(hosts, config, RepairPolicy::new(RepairWeight::Downtime));
-        let served = world.run_until(Duration::from_secs(30), |w| w.served().len() == 3);
+        let mut cluster = Cluster::new(hosts, config, RepairPolicy::new(RepairWeight::Downtime));
+        let served = cluster.run_until(Duration::from_secs(30), |c| c.served().len() == 3);
         assert!(served, "groups were not formed at the start");
-        world
+        cluster
     }
 
-    fn apply(mut world: World, _: &(), event: Event) -> World {
-        act(&mut world, event);
-        world.step(Duration::from_millis(100));
-        world
+    fn apply(mut cluster: Cluster, _: &(), event: Event) -> Cluster {
+        apply_event(&mut cluster, event);
+        cluster.step(Duration::from_millis(100));
+        cluster
     }
 
-    fn check_invariants(_: &World, _: &()) {}
+    fn check_invariants(_: &Cluster, _: &()) {}
 
     /// Once every fault is over, all groups serve the wanted version again.
-    fn teardown(mut world: World, _: ()) {
-        world.table.weather = None;
-        world.evidence_delay = Duration::from_millis(20);
-        world.cut = None;
+    fn teardown(mut cluster: Cluster, _: ()) {
+        cluster.table.fault = None;
+        cluster.evidence_delay = Duration::from_millis(20);
+        cluster.partition = None;
         for host in 0..HOSTS {
-            set_leaving(&mut world, host, false);
+            set_leaving(&mut cluster, host, false);
         }
         for n in 0..2 {
-            if world.nodes[n].paused {
-                world.resume(n);
+            if cluster.nodes[n].paused {
+                cluster.resume(n);
             }
         }
-        let most = Duration::from_secs(180);
-        let served = world.run_until(most, |w| w.served().len() >= 3 && is_current(w));
-        let rows: Vec<_> = world.table.groups().collect();
+        let timeout = Duration::from_secs(180);
+        let served = cluster.run_until(timeout, |c| c.served().len() >= 3 && is_current(c));
+        let rows: Vec<_> = cluster.table.groups().collect();
         assert!(
             served,
             "not served in time: {:?}, rows {rows:#?}",
-            world.served()
+            cluster.served()
         );
     }
 }
 
-fn act(world: &mut World, event: Event) {
+fn apply_event(cluster: &mut Cluster, event: Event) {
     match event {
-        Event::Pass(ms) => world.run(Duration::from_millis(ms)),
-        Event::Host(host, event) => strike(world, host, event),
-        Event::PauseNode(n) if !world.nodes[n].paused => {
-            let order = any_join(world);
-            world.pause_with_order(n, order);
+        Event::Advance(ms) => cluster.run(Duration::from_millis(ms)),
+        Event::Host(host, event) => inject_fault(cluster, host, event),
+        Event::PauseNode(n) if !cluster.nodes[n].paused => {
+            let order = any_join(cluster);
+            cluster.pause_with_order(n, order);
         }
-        Event::ResumeNode(n) if world.nodes[n].paused => world.resume(n),
+        Event::ResumeNode(n) if cluster.nodes[n].paused => cluster.resume(n),
         Event::PauseNode(_) | Event::ResumeNode(_) => {}
-        Event::Weather(kind, ms) => {
-            world.table.weather = match kind {
+        Event::TableFault(kind, ms) => {
+            cluster.table.fault = match kind {
                 0 => None,
-                1 => Some(Weather::AnswerLost),
-                2 => Some(Weather::Late(Duration::from_millis(ms))),
-                _ => Some(Weather::Down),
+                1 => Some(TableFault::ResponseLost),
+                2 => Some(TableFault::Delayed(Duration::from_millis(ms))),
+                _ => Some(TableFault::Unavailable),
             }
         }
-        Event::EvidenceDelay(ms) => world.evidence_delay = Duration::from_millis(ms),
-        Event::Cut(n, host) => {
-            let host = world.hosts.keys().nth(host).cloned();
-            world.cut = host.map(|h| (n, h));
+        Event::EvidenceDelay(ms) => cluster.evidence_delay = Duration::from_millis(ms),
+        Event::Partition(n, host) => {
+            let host = cluster.hosts.keys().nth(host).cloned();
+            cluster.partition = host.map(|h| (n, h));
         }
-        Event::Leaving(host, leaving) => set_leaving(world, host, leaving),
-        Event::Version(second) => world.configure(|c| set_version(c, second)),
-        Event::Mend => {
-            world.cut = None;
-            world.table.weather = None;
+        Event::Leaving(host, leaving) => set_leaving(cluster, host, leaving),
+        Event::Version(second) => cluster.configure(|c| set_version(c, second)),
+        Event::Heal => {
+            cluster.partition = None;
+            cluster.table.fault = None;
         }
     }
 }
 
-fn is_current(world: &World) -> bool {
-    let wanted = |row: &GroupRow| match world.config().services.get(&row.service).map(|s| &s.kind) {
+fn is_current(cluster: &Cluster) -> bool {
+    let wanted = |row: &GroupRow| match cluster.config().services.get(&row.service).map(|s| &s.kind)
+    {
         // With the floor at all groups and no room, the floor forbids to go on.
         Some(ServiceKind::Model(model)) => {
             model.version == row.version || model.floor == model.groups
         }
         _ => false,
     };
-    let mut formed = world
+    let mut formed = cluster
         .table
         .groups()
         .filter(|g| g.phase == GroupPhase::Formed);
     formed.all(wanted)
 }
 
-fn set_leaving(world: &mut World, host: usize, leaving: bool) {
+fn set_leaving(cluster: &mut Cluster, host: usize, leaving: bool) {
     let state = if leaving {
         HostState::Leaving
     } else {
         HostState::Live
     };
-    if let Some(host) = world.hosts.values_mut().nth(host) {
+    if let Some(host) = cluster.hosts.values_mut().nth(host) {
         host.entry.state = state;
     }
 }
@@ -202,25 +203,25 @@
     }
 }
 
-fn strike(world: &mut World, host: usize, event: HostEvent) {
-    let now = world.now;
+fn inject_fault(cluster: &mut Cluster, host: usize, event: HostEvent) {
+    let now = cluster.now;
     let fault = match event {
         HostEvent::Pause(s) => Fault::Pause(s),
         HostEvent::Restart(s) => Fault::Restart(s),
     };
-    if let Some(host) = world.hosts.values_mut().nth(host).filter(|h| h.is_up()) {
-        host.suffer(fault, now);
+    if let Some(host) = cluster.hosts.values_mut().nth(host).filter(|h| h.is_up()) {
+        host.inject(fault, now);
     }
 }
 
 /// A `Join` that the table allows now, for a node to hold in its hand.
-fn any_join(world: &World) -> Option<Order> {
-    let group = world
+fn any_join(cluster: &Cluster) -> Option<Order> {
+    let group = cluster
         .table
         .groups()
         .find(|g| g.phase == GroupPhase::Formed)?;
     let host = group.members.last()?;
-    let fence = world.hosts[host].fence;
+    let fence = cluster.hosts[host].fence;
     Some(Order {
         host: host.clone(),
         kind: OrderKind::Join,
@@ -251,5 +252,5 @@
     })]
 
     #[test]
-    fn promises_hold_under_any_faults(sequential 1..40 => Promises);
+    fn invariants_hold_under_random_faults(sequential 1..40 => Invariants);
 }
--- a/crates/group/tests/lease.rs
+++ b/crates/group/tests/lease.rs
@@ -24,7 +24,7 @@
     }
 }
 
-fn planned_by(holder: &NodeRow, version: u64) -> ObservedPlanner {
+fn planner_held_by(holder: &NodeRow, version: u64) -> ObservedPlanner {
     let row = PlannerRow {
         node: holder.node.clone(),
         incarnation: holder.incarnation,
@@ -39,7 +39,7 @@
 /// have seen the row written at the start of them; a holder that counted from
 /// the answer would give orders when another node already does.
 #[gtest]
-fn a_slow_answer_does_not_lengthen_a_lease() {
+fn a_slow_response_does_not_extend_a_lease() {
     let timing = LeaseTiming::default();
     let mut lease = HeldLease::new(timing, 1);
     let sent = Instant::now();
@@ -53,7 +53,7 @@
 
 /// Two renewals are answered in the wrong order. The older must not shorten the newer.
 #[gtest]
-fn an_overtaken_renewal_changes_nothing() {
+fn an_out_of_order_renewal_changes_nothing() {
     let mut lease = HeldLease::new(LeaseTiming::default(), 1);
     let first = Instant::now();
     let second = first + 1000 * MS;
@@ -66,7 +66,7 @@
 /// The process is stopped between the check and the sending, and goes on when
 /// its lease is over. The order has left; the sender has to know.
 #[gtest]
-fn a_pause_while_sending_is_noticed() {
+fn a_pause_while_sending_is_detected() {
     let timing = LeaseTiming::default();
     let mut lease = HeldLease::new(timing, 1);
     let sent = Instant::now();
@@ -108,7 +108,7 @@
 /// The table was down for ten minutes, so nobody could renew. The first node
 /// to read again must not take over from all others at once.
 #[gtest]
-fn an_outage_of_the_table_lapses_no_lease() {
+fn a_table_outage_expires_no_lease() {
     let mut observer = LeaseObserver::new(LeaseTiming::default());
     let start = Instant::now();
     observer.observe(&"n1".into(), 5, start);
@@ -117,11 +117,11 @@
 }
 
 #[gtest]
-fn a_takeover_deletes_the_old_holders_row_on_both_versions() {
+fn a_takeover_deletes_the_previous_holders_lease_row() {
     let timing = LeaseTiming::default();
     let mut observer = LeaseObserver::new(timing);
     let (own, holder) = (node("n2", 1), node("n1", 4));
-    let seen = planned_by(&holder, 9);
+    let seen = planner_held_by(&holder, 9);
     let early = takeover(&own, 2, &seen, &observer);
     expect_that!(early, err(eq(&TakeoverError::HolderMayBeActive)));
     let start = Instant::now();
@@ -156,11 +156,11 @@
 /// The planner restarted, so its lease row is a new start's. The old start's
 /// lease was not seen to lapse, and its orders may be under way for all of it.
 #[gtest]
-fn after_an_unseen_end_the_new_planner_waits_longer() {
+fn without_an_observed_expiry_the_new_planner_waits_longer() {
     let timing = LeaseTiming::default();
     let observer = LeaseObserver::new(timing);
     let own = node("n2", 1);
-    let mut seen = planned_by(&node("n1", 4), 9);
+    let mut seen = planner_held_by(&node("n1", 4), 9);
     seen.holder = Some((node("n1", 5), 11));
     let step = takeover(&own, 2, &seen, &observer).expect("that start is over");
     expect_that!(step.quiet_period, eq(timing.orders_expire_after()));
--- a/crates/group/tests/plan.rs
+++ b/crates/group/tests/plan.rs
@@ -1,11 +1,11 @@
 //! What the planner decides, seen through whole histories of small fleets.
 
-#[path = "../examples/repair/fake.rs"]
-#[allow(dead_code)]
-mod fake;
 #[path = "../examples/repair/fleets.rs"]
 #[allow(dead_code)]
 mod fleets;
+#[path = "../examples/repair/sim.rs"]
+#[allow(dead_code)]
+mod sim;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,18 +19,18 @@
 use googletest::prelude::*;
 use smol_str::SmolStr;
 
-use crate::fake::{Fake, Fault, Store};
+use crate::sim::{Fault, Simulation, Store};
 
 const SECOND: Duration = Duration::from_secs(1);
 const GB: u64 = 1_000_000_000;
 
 /// Services as (name, groups, hosts in each, floor); hosts by (failure domain, count) of each
 /// fabric domain. A host loads a model in eight seconds at most.
-fn fake(
+fn sim(
     services: &[(&str, u32, u32, u32)],
     fabrics: &[(usize, usize)],
     weight: RepairWeight,
-) -> Fake {
+) -> Simulation {
     let hosts = fleets::hosts(fabrics, 8);
     let services = services
         .iter()
@@ -46,15 +46,15 @@
         host_rate: GB,
     };
     let config = fleets::config(services, []);
-    let mut fake = Fake::new(hosts, config, &sizes, store, RepairPolicy::new(weight));
-    fake.run(120 * SECOND);
-    fake
+    let mut sim = Simulation::new(hosts, config, &sizes, store, RepairPolicy::new(weight));
+    sim.run(120 * SECOND);
+    sim
 }
 
-fn reconfigure(fake: &mut Fake, change: impl FnOnce(&mut Config)) {
-    let mut config = (*fake.view.config).clone();
+fn reconfigure(sim: &mut Simulation, change: impl FnOnce(&mut Config)) {
+    let mut config = (*sim.view.config).clone();
     change(&mut config);
-    fake.view.config = Arc::new(config);
+    sim.view.config = Arc::new(config);
 }
 
 fn model<'a>(config: &'a mut Config, service: &str) -> &'a mut eelgrassmill_config::ModelService {
@@ -65,39 +65,39 @@
     }
 }
 
-fn serving(fake: &Fake, service: &str) -> Vec<GroupRow> {
-    let all = fake.serving_groups().into_iter();
+fn serving(sim: &Simulation, service: &str) -> Vec<GroupRow> {
+    let all = sim.serving_groups().into_iter();
     all.filter(|g| g.service == service).cloned().collect()
 }
 
 /// Runs on and gives the fewest groups of a service that served at any step.
-fn least_serving(fake: &mut Fake, service: &str, time: Duration) -> usize {
-    let end = fake.now + time;
-    let mut least = usize::MAX;
-    while fake.now < end {
-        fake.step();
-        least = least.min(serving(fake, service).len());
+fn min_serving(sim: &mut Simulation, service: &str, time: Duration) -> usize {
+    let end = sim.now + time;
+    let mut fewest = usize::MAX;
+    while sim.now < end {
+        sim.step();
+        fewest = fewest.min(serving(sim, service).len());
     }
-    least
+    fewest
 }
 
-fn domains_of(fake: &Fake, row: &GroupRow) -> BTreeSet<SmolStr> {
-    let entry = |id: &SmolStr| fake.hosts[id].entry.fabric_domain.clone();
+fn domains_of(sim: &Simulation, row: &GroupRow) -> BTreeSet<SmolStr> {
+    let entry = |id: &SmolStr| sim.hosts[id].entry.fabric_domain.clone();
     row.members.iter().map(entry).collect()
 }
 
 #[gtest]
-fn groups_keep_to_one_fabric_domain_and_spread_over_failure_domains() {
-    let fake = fake(
+fn groups_stay_in_one_fabric_domain_and_spread_over_failure_domains() {
+    let sim = sim(
         &[("a", 6, 3, 1)],
         &[(0, 8), (1, 8), (2, 8)],
         RepairWeight::Downtime,
     );
-    let rows = serving(&fake, "a");
+    let rows = serving(&sim, "a");
     assert_that!(rows.len(), eq(6));
     let mut per_domain: BTreeMap<SmolStr, usize> = BTreeMap::new();
     for row in &rows {
-        let domains = domains_of(&fake, row);
+        let domains = domains_of(&sim, row);
         expect_that!(domains.len(), eq(1));
         *per_domain
             .entry(domains.into_iter().next().unwrap())
@@ -110,23 +110,23 @@
 }
 
 #[gtest]
-fn a_rollout_with_room_loses_no_capacity() {
-    let mut fake = fake(&[("a", 3, 2, 2)], &[(0, 5), (1, 5)], RepairWeight::Downtime);
-    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
-    let least = least_serving(&mut fake, "a", 300 * SECOND);
-    expect_that!(least, ge(3));
-    expect_true!(serving(&fake, "a").iter().all(|g| g.version == "2"));
-    expect_that!(serving(&fake, "a").len(), eq(3));
+fn a_rollout_with_spare_capacity_loses_none() {
+    let mut sim = sim(&[("a", 3, 2, 2)], &[(0, 5), (1, 5)], RepairWeight::Downtime);
+    reconfigure(&mut sim, |c| model(c, "a").version = "2".into());
+    let fewest = min_serving(&mut sim, "a", 300 * SECOND);
+    expect_that!(fewest, ge(3));
+    expect_true!(serving(&sim, "a").iter().all(|g| g.version == "2"));
+    expect_that!(serving(&sim, "a").len(), eq(3));
 }
 
 /// No host is left over, so each group has to end before it can begin anew.
 #[gtest]
-fn a_rollout_without_room_keeps_the_floor() {
-    let mut fake = fake(&[("a", 4, 2, 3)], &[(0, 4), (1, 4)], RepairWeight::Downtime);
-    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
-    let least = least_serving(&mut fake, "a", 300 * SECOND);
-    expect_that!(least, eq(3));
-    let rows = serving(&fake, "a");
+fn a_rollout_without_spare_capacity_keeps_the_floor() {
+    let mut sim = sim(&[("a", 4, 2, 3)], &[(0, 4), (1, 4)], RepairWeight::Downtime);
+    reconfigure(&mut sim, |c| model(c, "a").version = "2".into());
+    let fewest = min_serving(&mut sim, "a", 300 * SECOND);
+    expect_that!(fewest, eq(3));
+    let rows = serving(&sim, "a");
     expect_that!(rows.len(), eq(4));
     expect_true!(rows.iter().all(|g| g.version == "2"));
 }
@@ -135,22 +135,22 @@
 /// other group stops with them. It would be back in half a second; were it ended for the
 /// new version now, callers would wait for as long as a group takes to load.
 #[gtest]
-fn a_moment_of_silence_does_not_end_the_last_group_of_a_rollout() {
-    let mut fake = fake(&[("a", 2, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
-    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
-    while serving(&fake, "a").len() == 2 {
-        fake.step();
+fn a_brief_outage_does_not_end_the_last_group_of_a_rollout() {
+    let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
+    reconfigure(&mut sim, |c| model(c, "a").version = "2".into());
+    while serving(&sim, "a").len() == 2 {
+        sim.step();
     }
-    let last = serving(&fake, "a").remove(0);
-    let hosts: Vec<SmolStr> = fake.hosts.keys().cloned().collect();
+    let last = serving(&sim, "a").remove(0);
+    let hosts: Vec<SmolStr> = sim.hosts.keys().cloned().collect();
     for host in &hosts {
-        fake.suffer(host, Fault::Pause(2));
+        sim.inject(host, Fault::Pause(2));
     }
-    expect_that!(least_serving(&mut fake, "a", 3 * SECOND), eq(0));
-    let back = serving(&fake, "a").iter().any(|g| g.epoch == last.epoch);
+    expect_that!(min_serving(&mut sim, "a", 3 * SECOND), eq(0));
+    let back = serving(&sim, "a").iter().any(|g| g.epoch == last.epoch);
     expect_true!(back);
-    fake.run(120 * SECOND);
-    let rows = serving(&fake, "a");
+    sim.run(120 * SECOND);
+    let rows = serving(&sim, "a");
     expect_that!(rows.len(), eq(2));
     expect_true!(rows.iter().all(|g| g.version == "2"));
 }
@@ -165,70 +165,70 @@
 #[gtest]
 fn a_new_group_keeps_the_floor_only_once_every_node_knows_of_it() {
     for (groups, floor, hosts) in [(2, 1, 4), (2, 2, 6)] {
-        let mut fake = fake(
+        let mut sim = sim(
             &[("a", groups, 2, floor)],
             &[(0, hosts)],
             RepairWeight::Downtime,
         );
-        reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
-        let known = fake.policy.propagation_delay;
-        let old = serving(&fake, "a")
+        reconfigure(&mut sim, |c| model(c, "a").version = "2".into());
+        let known = sim.policy.propagation_delay;
+        let old = serving(&sim, "a")
             .into_iter()
-            .map(|g| (g.epoch, fake.now - known));
+            .map(|g| (g.epoch, sim.now - known));
         let mut since: BTreeMap<u64, Instant> = old.collect();
-        let end = fake.now + 300 * SECOND;
-        while fake.now < end {
-            let now = fake.now;
-            let ends = fake.step().into_iter().filter(is_rollout).count();
+        let end = sim.now + 300 * SECOND;
+        while sim.now < end {
+            let now = sim.now;
+            let ends = sim.step().into_iter().filter(is_rollout).count();
             if ends > 0 {
-                let told = since.values().filter(|at| now - **at >= known).count();
-                expect_that!(told, ge(floor as usize + ends));
+                let propagated = since.values().filter(|at| now - **at >= known).count();
+                expect_that!(propagated, ge(floor as usize + ends));
             }
-            let epochs: BTreeSet<u64> = serving(&fake, "a").iter().map(|g| g.epoch).collect();
+            let epochs: BTreeSet<u64> = serving(&sim, "a").iter().map(|g| g.epoch).collect();
             since.retain(|epoch, _| epochs.contains(epoch));
             for epoch in epochs {
                 since.entry(epoch).or_insert(now);
             }
         }
-        expect_true!(serving(&fake, "a").iter().all(|g| g.version == "2"));
-        expect_that!(serving(&fake, "a").len(), eq(groups as usize));
+        expect_true!(serving(&sim, "a").iter().all(|g| g.version == "2"));
+        expect_that!(serving(&sim, "a").len(), eq(groups as usize));
     }
 }
 
 /// The last group of an old version hangs: a host has lost its place and takes no orders. The
 /// rollout must not wait for it for ever.
 #[gtest]
-fn a_group_that_does_not_come_back_does_not_hold_a_rollout_up() {
-    let mut fake = fake(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
-    let old = serving(&fake, "a").remove(0);
-    let host = fake.hosts.get_mut(&old.members[0]).unwrap();
+fn a_group_that_cannot_recover_does_not_block_a_rollout() {
+    let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
+    let old = serving(&sim, "a").remove(0);
+    let host = sim.hosts.get_mut(&old.members[0]).unwrap();
     host.placement = None;
-    host.deaf = true;
+    host.ignores_orders = true;
     host.set_running(0);
-    reconfigure(&mut fake, |c| model(c, "a").version = "2".into());
-    fake.run(30 * SECOND);
+    reconfigure(&mut sim, |c| model(c, "a").version = "2".into());
+    sim.run(30 * SECOND);
     let held = |row: &GroupRow| row.epoch == old.epoch && row.phase == GroupPhase::Formed;
-    expect_false!(fake.view.groups.values().any(|g| held(&g.row)));
+    expect_false!(sim.view.groups.values().any(|g| held(&g.row)));
 }
 
 #[gtest]
-fn groups_wanted_fewer_more_and_not_at_all() {
-    let mut fake = fake(
+fn group_count_follows_the_configuration() {
+    let mut sim = sim(
         &[("a", 3, 2, 1), ("b", 1, 2, 1)],
         &[(0, 6), (1, 6)],
         RepairWeight::Downtime,
     );
-    reconfigure(&mut fake, |c| model(c, "a").groups = 1);
-    fake.run(60 * SECOND);
-    expect_that!(serving(&fake, "a").len(), eq(1));
-    reconfigure(&mut fake, |c| model(c, "a").groups = 4);
-    fake.run(60 * SECOND);
-    expect_that!(serving(&fake, "a").len(), eq(4));
-    reconfigure(&mut fake, |c| {
+    reconfigure(&mut sim, |c| model(c, "a").groups = 1);
+    sim.run(60 * SECOND);
+    expect_that!(serving(&sim, "a").len(), eq(1));
+    reconfigure(&mut sim, |c| model(c, "a").groups = 4);
+    sim.run(60 * SECOND);
+    expect_that!(serving(&sim, "a").len(), eq(4));
+    reconfigure(&mut sim, |c| {
         c.services.remove("b");
     });
-    fake.run(120 * SECOND);
-    let left: Vec<_> = fake
+    sim.run(120 * SECOND);
+    let left: Vec<_> = sim
         .view
         .groups
         .values()
@@ -240,77 +240,77 @@
 /// Requests in progress keep a group from being taken apart, but not for ever.
 #[gtest]
 fn an_ending_group_is_drained_first() {
-    let mut fake = fake(&[("a", 1, 2, 0)], &[(0, 3)], RepairWeight::Downtime);
-    let row = serving(&fake, "a").remove(0);
-    fake.hosts.get_mut(&row.members[0]).unwrap().set_running(5);
-    reconfigure(&mut fake, |c| model(c, "a").groups = 0);
-    fake.run(20 * SECOND);
-    let holds = |f: &Fake| f.hosts[&row.members[0]].placement.is_some();
-    expect_true!(holds(&fake));
-    fake.hosts.get_mut(&row.members[0]).unwrap().set_running(0);
-    fake.run(2 * SECOND);
-    expect_false!(holds(&fake));
+    let mut sim = sim(&[("a", 1, 2, 0)], &[(0, 3)], RepairWeight::Downtime);
+    let row = serving(&sim, "a").remove(0);
+    sim.hosts.get_mut(&row.members[0]).unwrap().set_running(5);
+    reconfigure(&mut sim, |c| model(c, "a").groups = 0);
+    sim.run(20 * SECOND);
+    let holds = |f: &Simulation| f.hosts[&row.members[0]].placement.is_some();
+    expect_true!(holds(&sim));
+    sim.hosts.get_mut(&row.members[0]).unwrap().set_running(0);
+    sim.run(2 * SECOND);
+    expect_false!(holds(&sim));
 }
 
 /// A whole fabric domain of twelve groups goes dark and comes back empty. The
 /// table and the weight store must not be flooded.
 #[gtest]
-fn a_dark_domain_starts_no_storm() {
-    let mut fake = fake(
+fn the_loss_of_a_domain_causes_no_load_storm() {
+    let mut sim = sim(
         &[("a", 24, 2, 8)],
         &[(0, 26), (1, 26)],
         RepairWeight::Downtime,
     );
-    expect_that!(serving(&fake, "a").len(), eq(24));
-    let dark: Vec<SmolStr> = fake
+    expect_that!(serving(&sim, "a").len(), eq(24));
+    let dark: Vec<SmolStr> = sim
         .hosts
         .keys()
         .filter(|h| h.starts_with("h0"))
         .cloned()
         .collect();
-    fake.totals = Default::default();
+    sim.totals = Default::default();
     for host in &dark {
-        fake.suffer(host, Fault::Restart(30));
+        sim.inject(host, Fault::Restart(30));
     }
-    fake.run(240 * SECOND);
-    expect_that!(serving(&fake, "a").len(), eq(24));
-    expect_that!(fake.totals.most_loads, le(16));
-    expect_that!(fake.totals.max_transactions, le(32));
+    sim.run(240 * SECOND);
+    expect_that!(serving(&sim, "a").len(), eq(24));
+    expect_that!(sim.totals.max_loads, le(16));
+    expect_that!(sim.totals.max_transactions, le(32));
 }
 
 /// Two groups of two services each miss a host for long, and there is no
 /// spare. One of them is completed with the other's host.
 #[gtest]
-fn broken_groups_are_joined_where_no_spare_is_left() {
+fn broken_groups_are_merged_when_no_spare_is_left() {
     for weight in [RepairWeight::Downtime, RepairWeight::Stranded] {
-        let mut fake = fake(&[("a", 2, 3, 0)], &[(0, 6)], weight);
-        let rows = serving(&fake, "a");
+        let mut sim = sim(&[("a", 2, 3, 0)], &[(0, 6)], weight);
+        let rows = serving(&sim, "a");
         for row in &rows {
-            fake.suffer(&row.members[1], Fault::Pause(500));
+            sim.inject(&row.members[1], Fault::Pause(500));
         }
-        fake.run(60 * SECOND);
-        expect_that!(serving(&fake, "a").len(), eq(1));
+        sim.run(60 * SECOND);
+        expect_that!(serving(&sim, "a").len(), eq(1));
     }
 }
 
 /// The service `b` can't have a group for its floor, while `a` has one more
 /// than it needs.
 #[gtest]
-fn the_least_needed_group_yields_its_hosts() {
-    let mut fake = fake(
+fn the_least_needed_group_is_preempted() {
+    let mut sim = sim(
         &[("a", 2, 2, 1), ("b", 1, 2, 1)],
         &[(0, 4), (1, 2)],
         RepairWeight::Downtime,
     );
-    let b = serving(&fake, "b").remove(0);
+    let b = serving(&sim, "b").remove(0);
     for host in &b.members {
-        fake.suffer(host, Fault::Die);
+        sim.inject(host, Fault::Die);
     }
-    fake.run(20 * SECOND);
-    expect_that!(serving(&fake, "a").len(), eq(2), "it yields too early");
-    fake.run(60 * SECOND);
-    expect_that!(serving(&fake, "b").len(), eq(1));
-    expect_that!(serving(&fake, "a").len(), eq(1));
+    sim.run(20 * SECOND);
+    expect_that!(serving(&sim, "a").len(), eq(2), "it yields too early");
+    sim.run(60 * SECOND);
+    expect_that!(serving(&sim, "b").len(), eq(1));
+    expect_that!(serving(&sim, "a").len(), eq(1));
 }
 
 /// A broken group of `a` is not expected back for a long time and `b` lacks
@@ -319,51 +319,51 @@
 #[gtest]
 fn the_weight_decides_whether_healthy_hosts_wait() {
     for (weight, expected) in [(RepairWeight::Downtime, 0), (RepairWeight::Stranded, 1)] {
-        let mut fake = fake(&[("a", 1, 4, 1), ("b", 1, 2, 1)], &[(0, 6)], weight);
-        let (a, b) = (serving(&fake, "a").remove(0), serving(&fake, "b").remove(0));
+        let mut sim = sim(&[("a", 1, 4, 1), ("b", 1, 2, 1)], &[(0, 6)], weight);
+        let (a, b) = (serving(&sim, "a").remove(0), serving(&sim, "b").remove(0));
         for host in b.members.iter().chain(&a.members[..2]) {
-            fake.suffer(host, Fault::Pause(900));
+            sim.inject(host, Fault::Pause(900));
         }
-        fake.run(100 * SECOND);
-        expect_that!(serving(&fake, "b").len(), eq(expected), "{weight:?}");
+        sim.run(100 * SECOND);
+        expect_that!(serving(&sim, "b").len(), eq(expected), "{weight:?}");
     }
 }
 
 /// A spare that is warm replaces a host without a load.
 #[gtest]
-fn spares_are_warm_before_they_are_needed() {
-    let mut fake = fake(&[("a", 2, 2, 1)], &[(0, 5)], RepairWeight::Downtime);
-    let spare = fake
+fn spares_are_warmed_in_advance() {
+    let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 5)], RepairWeight::Downtime);
+    let spare = sim
         .hosts
         .values()
         .find(|h| h.placement.is_none())
         .expect("one is left");
     expect_that!(spare.warm, not(is_empty()));
-    let row = serving(&fake, "a").remove(0);
-    fake.suffer(&row.members[0], Fault::Die);
-    fake.run(5 * SECOND);
-    expect_that!(serving(&fake, "a").len(), eq(2));
+    let row = serving(&sim, "a").remove(0);
+    sim.inject(&row.members[0], Fault::Die);
+    sim.run(5 * SECOND);
+    expect_that!(serving(&sim, "a").len(), eq(2));
 }
 
 /// An order is repeated until the host's report shows it, not in every round.
 #[gtest]
-fn orders_are_repeated_with_a_pause() {
-    let mut fake = fake(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
-    let row = serving(&fake, "a").remove(0);
-    fake.hosts.get_mut(&row.members[0]).unwrap().deaf = true;
-    reconfigure(&mut fake, |c| model(c, "a").groups = 0);
+fn orders_are_resent_at_an_interval() {
+    let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
+    let row = serving(&sim, "a").remove(0);
+    sim.hosts.get_mut(&row.members[0]).unwrap().ignores_orders = true;
+    reconfigure(&mut sim, |c| model(c, "a").groups = 0);
     let mut leaves = 0;
     for _ in 0..40 {
         let sent =
             |a: &Action| matches!(a, Action::SendLeave { order } if order.host == row.members[0]);
-        leaves += fake.step().iter().filter(|a| sent(a)).count();
+        leaves += sim.step().iter().filter(|a| sent(a)).count();
     }
     // Twenty seconds, of which the first three drain the group; one a second at most.
     expect_that!(leaves, all!(ge(8), le(17)));
 }
 
 #[gtest]
-fn waiting_pays_as_long_as_hosts_have_come_back_soon() {
+fn the_optimal_wait_follows_earlier_recoveries() {
     let cost = 2 * SECOND;
     let mut model = RecoveryModel::new();
     for _ in 0..500 {
@@ -395,41 +395,41 @@
 /// order that it allowed can arrive any more; a host that doesn't check orders
 /// would else be pulled out of its next group.
 #[gtest]
-fn a_silent_host_is_freed_only_when_it_is_outlived() {
-    let mut fake = fake(&[("a", 1, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
-    let row = serving(&fake, "a").remove(0);
-    fake.suffer(&row.members[1], Fault::Pause(100));
+fn a_silent_host_is_freed_only_after_its_orders_expire() {
+    let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
+    let row = serving(&sim, "a").remove(0);
+    sim.inject(&row.members[1], Fault::Pause(100));
     let (mut ended, mut freed) = (None, None);
     for _ in 0..60 {
-        for action in fake.step() {
+        for action in sim.step() {
             match action {
-                Action::EndGroup { .. } => ended = ended.or(Some(fake.now)),
+                Action::EndGroup { .. } => ended = ended.or(Some(sim.now)),
                 Action::FreeHost { host, reason, .. } if host == row.members[1] => {
                     expect_that!(reason, eq(FreeReason::OrdersExpired));
-                    freed = Some(fake.now);
+                    freed = Some(sim.now);
                 }
                 _ => {}
             }
         }
     }
     let (ended, freed) = (ended.expect("it was ended"), freed.expect("it was freed"));
-    expect_that!(freed - ended, ge(fake.policy.timing.orders_expire_after()));
+    expect_that!(freed - ended, ge(sim.policy.timing.orders_expire_after()));
 }
 
 /// Each binding and each ending gives a host a higher fence than all before,
 /// so that orders of the two can be told apart whichever arrives first.
 #[gtest]
-fn every_binding_and_ending_raises_the_fence() {
-    let mut fake = fake(&[("a", 2, 2, 1)], &[(0, 6)], RepairWeight::Downtime);
+fn binding_and_ending_raise_the_fence() {
+    let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 6)], RepairWeight::Downtime);
     let mut fences: BTreeMap<SmolStr, u64> = BTreeMap::new();
     let mut raised = 0;
     for round in 0..3 {
-        reconfigure(&mut fake, |c| model(c, "a").groups = [0, 2, 1][round]);
+        reconfigure(&mut sim, |c| model(c, "a").groups = [0, 2, 1][round]);
         for _ in 0..40 {
-            for host in fake.view.hosts.values() {
+            for host in sim.view.hosts.values() {
                 fences.insert(host.row.host.clone(), host.row.fence);
             }
-            let actions = fake.step();
+            let actions = sim.step();
             for action in &actions {
                 let binds = matches!(action, Action::FormGroup { .. } | Action::EndGroup { .. });
                 let puts = action.transaction().filter(|_| binds).map(|c| &c.puts);
@@ -450,7 +450,7 @@
 /// A planner that was replaced may still have a transaction on its way. It
 /// fails, whatever it is about, because it names the planner's lease.
 #[gtest]
-fn planned_changes_name_the_lease_and_the_planner() {
+fn planned_transactions_are_conditional_on_the_lease_and_the_planner() {
     let transaction = Transaction::new().under_lease("n1", 7, "r1", 3);
     let expected: Vec<_> = transaction
         .expect
--- a/crates/group/tests/support/world.rs
+++ b/crates/group/tests/support/cluster.rs
@@ -13,21 +13,21 @@
 };
 use smol_str::{SmolStr, format_smolstr};
 
-use crate::fake::FakeHost;
+use crate::sim::FakeHost;
 use crate::support::oracle::Oracle;
 
 const REGION: &str = "region-1";
 
 /// What becomes of the next transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Weather {
-    Fair,
+pub(crate) enum TableFault {
+    NoFault,
     /// The table makes the write and its answer is lost.
-    AnswerLost,
+    ResponseLost,
     /// The answer is lost and the table makes the write this much later, if it still may.
-    Late(Duration),
+    Delayed(Duration),
     /// The table can't be reached.
-    Down,
+    Unavailable,
 }
 
 enum Answer {
@@ -41,7 +41,7 @@
 pub(crate) struct Table {
     pub(crate) rows: BTreeMap<SmolStr, (RowVersion, RowValue)>,
     late: Vec<(Instant, Transaction, SmolStr)>,
-    pub(crate) weather: Option<Weather>,
+    pub(crate) fault: Option<TableFault>,
 }
 
 impl Table {
@@ -53,7 +53,7 @@
     }
 
     fn is_down(&self) -> bool {
-        self.weather == Some(Weather::Down)
+        self.fault == Some(TableFault::Unavailable)
     }
 
     fn apply(&mut self, transaction: &Transaction) -> bool {
@@ -103,12 +103,12 @@
     pub(crate) view: Option<FleetView>,
     pub(crate) paused: bool,
     /// An order that was checked before the node was paused.
-    hand: Option<(Order, LeaseProof)>,
+    pending_order: Option<(Order, LeaseProof)>,
     watches: BTreeMap<SmolStr, GroupWatch>,
     sequence: u64,
 }
 
-pub(crate) struct World {
+pub(crate) struct Cluster {
     pub(crate) now: Instant,
     pub(crate) table: Table,
     pub(crate) nodes: Vec<Node>,
@@ -116,46 +116,46 @@
     pub(crate) entry: EvidenceStore,
     pub(crate) evidence_delay: Duration,
     /// Node and host between which nothing passes.
-    pub(crate) cut: Option<(usize, SmolStr)>,
+    pub(crate) partition: Option<(usize, SmolStr)>,
     in_flight: Vec<(Instant, Evidence)>,
     pub(crate) oracle: Oracle,
     /// Orders that were sent outside the lease, as the check after sending found.
-    pub(crate) strays: Vec<Order>,
+    pub(crate) late_orders: Vec<Order>,
     config: Arc<Config>,
     policy: RepairPolicy,
     timing: LeaseTiming,
 }
 
-impl World {
-    pub(crate) fn new(hosts: Vec<FakeHost>, config: Config, policy: RepairPolicy) -> World {
+impl Cluster {
+    pub(crate) fn new(hosts: Vec<FakeHost>, config: Config, policy: RepairPolicy) -> Cluster {
         let now = Instant::now() + Duration::from_secs(1000);
         let timing = policy.timing;
-        let mut world = World {
+        let mut cluster = Cluster {
             now,
             table: Table::default(),
             nodes: Vec::new(),
             hosts: hosts.into_iter().map(|h| (h.entry.id.clone(), h)).collect(),
             entry: EvidenceStore::new(),
             evidence_delay: Duration::from_millis(20),
-            cut: None,
+            partition: None,
             in_flight: Vec::new(),
             oracle: Oracle::default(),
-            strays: Vec::new(),
+            late_orders: Vec::new(),
             config: Arc::new(config),
             policy,
             timing,
         };
         for n in 0..2 {
-            world.nodes.push(node(n, 1, timing));
+            cluster.nodes.push(node(n, 1, timing));
         }
-        world
+        cluster
     }
 
     /// One step: time passes, nodes renew, plan and watch, evidence arrives.
     pub(crate) fn step(&mut self, time: Duration) {
         self.now += time;
         for host in self.hosts.values_mut() {
-            host.pass(self.now);
+            host.advance(self.now);
             if host.is_up() && host.to_load > 0 {
                 host.load(u64::MAX / 2);
             }
@@ -166,7 +166,7 @@
                 self.node_step(n);
             }
         }
-        self.oracle.see_hosts(&self.hosts, self.now);
+        self.oracle.record_hosts(&self.hosts, self.now);
         self.deliver_evidence();
         self.oracle
             .check(&self.table, &self.hosts, &self.entry, self.now);
@@ -180,8 +180,8 @@
     }
 
     /// Steps until `done`, for so long at most; whether it came about.
-    pub(crate) fn run_until(&mut self, most: Duration, done: impl Fn(&World) -> bool) -> bool {
-        let end = self.now + most;
+    pub(crate) fn run_until(&mut self, timeout: Duration, done: impl Fn(&Cluster) -> bool) -> bool {
+        let end = self.now + timeout;
         while self.now < end && !done(self) {
             self.step(Duration::from_millis(250));
         }
@@ -222,13 +222,13 @@
         let node = &mut self.nodes[n];
         node.paused = true;
         let proof = node.lease.check(self.now).ok();
-        node.hand = order.zip(proof);
+        node.pending_order = order.zip(proof);
     }
 
     /// Lets a node go on; the order in its hand leaves first.
     pub(crate) fn resume(&mut self, n: usize) {
         self.nodes[n].paused = false;
-        if let Some((order, proof)) = self.nodes[n].hand.take() {
+        if let Some((order, proof)) = self.nodes[n].pending_order.take() {
             self.deliver(n, &order, proof);
         }
     }
@@ -260,20 +260,20 @@
 
     fn commit(&mut self, n: usize, transaction: Transaction) -> Answer {
         let by = self.nodes[n].row.node.clone();
-        match self.table.weather.unwrap_or(Weather::Fair) {
-            Weather::Down => Answer::Unknown,
-            Weather::Late(time) => {
-                self.table.weather = None;
+        match self.table.fault.unwrap_or(TableFault::NoFault) {
+            TableFault::Unavailable => Answer::Unknown,
+            TableFault::Delayed(time) => {
+                self.table.fault = None;
                 self.table.late.push((self.now + time, transaction, by));
                 Answer::Unknown
             }
-            Weather::AnswerLost => {
-                self.table.weather = None;
+            TableFault::ResponseLost => {
+                self.table.fault = None;
                 self.apply(&transaction, &by);
                 Answer::Unknown
             }
-            Weather::Fair if self.apply(&transaction, &by) => Answer::Committed,
-            Weather::Fair => Answer::Conflict,
+            TableFault::NoFault if self.apply(&transaction, &by) => Answer::Committed,
+            TableFault::NoFault => Answer::Conflict,
         }
     }
 
@@ -281,7 +281,7 @@
         if !self.table.is_down() {
             self.renew(n);
             self.observe_leases(n);
-            self.take_over(n);
+            self.try_takeover(n);
         }
         self.watch(n);
         if self.is_planner(n) {
@@ -329,7 +329,7 @@
         }
     }
 
-    fn take_over(&mut self, n: usize) {
+    fn try_takeover(&mut self, n: usize) {
         let Some(own_version) = self.nodes[n].lease.row_version() else {
             return;
         };
@@ -355,8 +355,8 @@
     }
 
     fn reaches(&self, n: usize, host: &str) -> bool {
-        let cut = self.cut.as_ref();
-        self.hosts[host].is_up() && !cut.is_some_and(|(node, h)| *node == n && h == host)
+        let partition = self.partition.as_ref();
+        self.hosts[host].is_up() && !partition.is_some_and(|(node, h)| *node == n && h == host)
     }
 
     fn watch(&mut self, n: usize) {
@@ -420,7 +420,7 @@
         let Some(mut view) = self.nodes[n].view.take() else {
             return;
         };
-        self.bring_up_to_date(n, &mut view);
+        self.update_view(n, &mut view);
         for action in plan(&view, &self.policy, self.now) {
             if let Some(transaction) = action.transaction() {
                 self.commit_planned(n, transaction.clone());
@@ -449,7 +449,7 @@
         self.commit(n, guarded);
     }
 
-    fn bring_up_to_date(&mut self, n: usize, view: &mut FleetView) {
+    fn update_view(&mut self, n: usize, view: &mut FleetView) {
         let now = self.now;
         let entries: Vec<HostEntry> = self.hosts.values().map(|h| h.entry.clone()).collect();
         view.on_host_list(&entries, now);
@@ -489,7 +489,7 @@
     fn deliver(&mut self, n: usize, order: &Order, proof: LeaseProof) {
         let stray = self.nodes[n].lease.confirm(proof, self.now).is_err();
         if stray {
-            self.strays.push(order.clone());
+            self.late_orders.push(order.clone());
         }
         if !self.reaches(n, &order.host) {
             return;
@@ -499,7 +499,7 @@
             host.obey(order, 1);
             let after = host.placement.as_ref().map(|p| p.epoch);
             self.oracle
-                .see_order(order, host.checks_orders, before, after);
+                .check_order(order, host.checks_orders, before, after);
         }
     }
 }
@@ -521,7 +521,7 @@
         observer: LeaseObserver::new(timing),
         view: None,
         paused: false,
-        hand: None,
+        pending_order: None,
         watches: BTreeMap::new(),
         sequence: 0,
     }
--- a/crates/group/tests/support/mod.rs
+++ b/crates/group/tests/support/mod.rs
@@ -2,5 +2,5 @@
 
 #![allow(dead_code)]
 
+pub(crate) mod cluster;
 pub(crate) mod oracle;
-pub(crate) mod world;
--- a/crates/group/tests/support/oracle.rs
+++ b/crates/group/tests/support/oracle.rs
@@ -9,8 +9,8 @@
 };
 use smol_str::SmolStr;
 
-use crate::fake::FakeHost;
-use crate::support::world::Table;
+use crate::sim::FakeHost;
+use crate::support::cluster::Table;
 
 /// A host's word that it belonged to an epoch of a group and was ready.
 type Membership = (SmolStr, SmolStr, u64);
@@ -19,18 +19,18 @@
 #[derive(Default)]
 pub(crate) struct Oracle {
     /// When each host was last truly up and ready as a member.
-    there: BTreeMap<Membership, Instant>,
+    last_ready: BTreeMap<Membership, Instant>,
     /// Epochs that were ever formed.
     epochs: BTreeSet<u64>,
     fences: BTreeMap<SmolStr, u64>,
 }
 
 impl Oracle {
-    pub(crate) fn see_hosts(&mut self, hosts: &BTreeMap<SmolStr, FakeHost>, now: Instant) {
+    pub(crate) fn record_hosts(&mut self, hosts: &BTreeMap<SmolStr, FakeHost>, now: Instant) {
         for (id, host) in hosts.iter().filter(|(_, h)| h.is_up() && h.is_ready()) {
             if let Some(placement) = &host.placement {
                 let key = (id.clone(), placement.group.clone(), placement.epoch);
-                self.there.insert(key, now);
+                self.last_ready.insert(key, now);
             }
         }
     }
@@ -61,7 +61,7 @@
     }
 
     /// A host that checks orders never goes back to an older epoch.
-    pub(crate) fn see_order(
+    pub(crate) fn check_order(
         &self,
         order: &Order,
         checks: bool,
@@ -94,7 +94,7 @@
                 .find(|g| g.group == *group && g.epoch == serving.epoch);
             for host in row.iter().flat_map(|row| &row.members) {
                 let key = (host.clone(), group.clone(), serving.epoch);
-                let seen = self.there.get(&key);
+                let seen = self.last_ready.get(&key);
                 let late = seen.is_none_or(|at| now.duration_since(*at) > EVIDENCE_MAX_AGE);
                 let state = &hosts[host];
                 assert!(
