--- a/crates/group/examples/repair/cost.rs
+++ b/crates/group/examples/repair/cost.rs
@@ -1,4 +1,4 @@
-//! What one decision costs as the number of groups grows.
+//! Cost of one decision by number of groups.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -15,7 +15,7 @@
 
 struct CountingAllocator;
 
-// The only way to count allocations is to be the allocator; every call goes on to the system's.
+// Counts allocations; every call is forwarded to the system allocator.
 #[allow(unsafe_code)]
 unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
@@ -37,7 +37,7 @@
     allocations: u64,
 }
 
-/// Fewest over some calls: what is left when nothing else disturbs.
+/// Minimum over several calls, to exclude interference.
 fn cost_of(times: u32, mut call: impl FnMut()) -> Cost {
     let mut best = Cost {
         time: Duration::MAX,
@@ -63,8 +63,8 @@
     for scale in [1, 10, 100] {
         let costs = costs_at(scale);
         let names = [
-            "plan, quiet",
-            "plan, 2 hosts dead",
+            "plan, idle",
+            "plan, 2 hosts failed",
             "wholeness update",
             "evidence and serving",
         ];
@@ -89,7 +89,7 @@
     sim.warm_all();
     assert!(
         plan(&sim.view, &sim.policy, sim.now).is_empty(),
-        "not quiet"
+        "the fleet is not idle"
     );
     let idle = cost_of(20, || {
         black_box(plan(&sim.view, &sim.policy, sim.now));
@@ -97,7 +97,7 @@
     for host in ["h0-00", "h0-09"] {
         sim.inject(host, Fault::Die);
     }
-    // Up to the moment when they count as missing and are acted on.
+    // Advance until they count as missing and the planner acts.
     let has_actions = |sim: &Simulation| !plan(&sim.view, &sim.policy, sim.now).is_empty();
     for _ in 0..60 {
         if has_actions(&sim) {
@@ -106,7 +106,10 @@
         sim.now += Duration::from_millis(500);
         sim.observe();
     }
-    assert!(has_actions(&sim), "nothing was done about the dead hosts");
+    assert!(
+        has_actions(&sim),
+        "the planner doesn't act on the failed hosts"
+    );
     let broken = cost_of(20, || {
         black_box(plan(&sim.view, &sim.policy, sim.now));
     });
--- a/crates/group/examples/repair/fleets.rs
+++ b/crates/group/examples/repair/fleets.rs
@@ -1,4 +1,4 @@
-//! The two fleets that the scripts are played on.
+//! The fleets that the scripts run on.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 const GB: u64 = 1_000_000_000;
 
-/// A service of model groups for a configuration.
+/// A model service for a configuration.
 pub(crate) fn service(name: &str, groups: u32, size: u32, floor: u32) -> (ServiceName, Service) {
     let model = ModelService {
         model: format_smolstr!("{name}-model"),
@@ -35,7 +35,7 @@
     (name.into(), service)
 }
 
-/// A configuration of these services; `checking` hosts check fencing numbers.
+/// A configuration of these services; `checking` hosts check fencing tokens.
 pub(crate) fn config<'a>(
     services: impl IntoIterator<Item = (ServiceName, Service)>,
     checking: impl IntoIterator<Item = &'a str>,
@@ -59,7 +59,7 @@
     }
 }
 
-/// Hosts `hFABRIC-N`, every other one checking fencing numbers.
+/// Hosts `hFABRIC-N`; every other one checks fencing tokens.
 pub(crate) fn hosts(fabrics: &[(usize, usize)], accelerators: u32) -> Vec<FakeHost> {
     let mut all = Vec::new();
     for (fabric, (failure, count)) in fabrics.iter().enumerate() {
@@ -77,10 +77,10 @@
     all
 }
 
-/// A fleet to play scripts on.
+/// A fleet to run scripts on.
 pub(crate) struct Fleet {
     pub(crate) name: &'static str,
-    /// Failure domain and number of hosts of each fabric domain.
+    /// Failure domain and host count of each fabric domain.
     pub(crate) fabrics: Vec<(usize, usize)>,
     pub(crate) accelerators: u32,
     pub(crate) group_size: usize,
@@ -108,7 +108,7 @@
     }
 }
 
-/// 110 groups of 8 over 6 failure domains and 880 hosts: no spare at all.
+/// 110 groups of 8 over 6 failure domains with 880 hosts and no spares.
 pub(crate) fn full() -> Fleet {
     let mut fabrics = Vec::new();
     for failure in 0..6 {
@@ -143,7 +143,7 @@
 }
 
 impl Fleet {
-    /// So many groups of 8, with one spare to every 24 hosts.
+    /// A fleet with `groups` groups of 8 and one spare for every 24 hosts.
     pub(crate) fn of_groups(groups: usize) -> Fleet {
         let mut fleet = full();
         fleet.fabrics = (0..groups.div_ceil(3)).map(|i| (i % 6, 25)).collect();
@@ -151,7 +151,7 @@
         fleet
     }
 
-    /// The fleet with all groups whole; spares have had ten minutes to load.
+    /// The fleet with all groups whole, after up to ten minutes for spares to load.
     pub(crate) fn start(&self, policy: RepairPolicy) -> Simulation {
         let mut sim = self.form(policy);
         for _ in 0..1200 {
@@ -164,7 +164,7 @@
         sim
     }
 
-    /// The fleet with all groups just formed.
+    /// The fleet with all groups newly formed.
     pub(crate) fn form(&self, policy: RepairPolicy) -> Simulation {
         let hosts = hosts(&self.fabrics, self.accelerators);
         let ids: Vec<SmolStr> = hosts.iter().map(|h| h.entry.id.clone()).collect();
@@ -178,7 +178,7 @@
         sim
     }
 
-    /// Forms the groups with loads that take no time and no bound, and then the usual ones.
+    /// Forms the groups with instant, unlimited loads, then restores the usual rates and limits.
     fn form_instantly(&self, sim: &mut Simulation) {
         let rates = sim.store;
         let limits = (sim.policy.max_loads, sim.policy.max_transactions);
--- a/crates/group/examples/repair/main.rs
+++ b/crates/group/examples/repair/main.rs
@@ -1,4 +1,4 @@
-//! Plays fixed fault scripts over the repair policy and prints what each way to repair costs.
+//! Runs fixed fault scripts against the repair policy and prints the cost of each strategy.
 //!
 //! `cargo run --release -p eelgrassmill-group --example repair`
 
@@ -50,7 +50,7 @@
     );
     println!(
         "{:<34}{:>20}{:>20}{:>20}",
-        "script", "wait-for-return", "first-spare", "weighed"
+        "script", "wait-for-return", "first-spare", "cost-based"
     );
     let starts = run_parallel(|i| fleet.start(policy(STRATEGIES[i])));
     let mut sums = [Totals::default(); 3];
@@ -71,8 +71,8 @@
 fn print_ratios(sums: &[Totals; 3]) {
     let [wait, spare, cost_based] = sums;
     println!(
-        "downtime against wait-for-return {:.2}, against first-spare {:.2}; most transactions \
-         in a round {}, most loads at once {}",
+        "downtime against wait-for-return {:.2}, against first-spare {:.2}; max transactions \
+         per round {}, max concurrent loads {}",
         cost_based.downtime / wait.downtime,
         cost_based.downtime / spare.downtime,
         cost_based.max_transactions,
@@ -80,7 +80,7 @@
     );
 }
 
-/// Runs `f` for the place of each choice, each in its own thread.
+/// Runs `f` for the index of each strategy, each in its own thread.
 fn run_parallel<T: Send>(f: impl Fn(usize) -> T + Sync) -> [T; 3] {
     std::thread::scope(|scope| {
         let threads = [0, 1, 2].map(|i| {
@@ -110,7 +110,7 @@
         }
         sim.step();
         elapsed += STEP;
-        // Time in which nothing happens adds nothing to the figures.
+        // Skip idle time, which doesn't affect the totals.
         if sim.is_idle() {
             let next = steps.peek().map(|(at, ..)| Duration::from_secs(*at));
             elapsed = elapsed.max(next.unwrap_or(duration));
--- a/crates/group/examples/repair/scripts.rs
+++ b/crates/group/examples/repair/scripts.rs
@@ -1,16 +1,16 @@
-//! The fault scripts: what happens to which host, and when.
+//! Fault scripts.
 
 use std::borrow::Cow;
 
 use crate::fleets::Fleet;
 use crate::sim::Fault;
 
-/// What a fault hits.
+/// Target of a fault.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FaultTarget {
-    /// Member of a fabric domain's first, second, ... group, by rank.
+    /// Fabric domain, group within it, and rank of a member.
     Member(usize, usize, usize),
-    /// Host N of a fabric domain.
+    /// Fabric domain and host number.
     Host(usize, usize),
     /// A whole fabric domain.
     Fabric(usize),
@@ -18,13 +18,13 @@
     Failure(usize),
 }
 
-/// One line of a script: after so many seconds, this happens to those.
+/// One step of a script: time in seconds, target and fault.
 pub(crate) type ScriptStep = (u64, FaultTarget, Fault);
 
 /// A fault script.
 pub(crate) struct Script {
     pub(crate) name: &'static str,
-    /// Seconds that are played.
+    /// Duration in seconds.
     pub(crate) duration: u64,
     pub(crate) steps: Cow<'static, [ScriptStep]>,
 }
@@ -39,8 +39,8 @@
     all
 }
 
-/// What an ordinary day brings, in an hour: of 880 hosts 9 fail and 180 are restarted or
-/// replaced, and as many in proportion of a smaller fleet.
+/// The faults of an ordinary day within an hour: of 880 hosts 9 fail and 180 are restarted or
+/// replaced; smaller fleets have proportionally fewer faults.
 fn ordinary_day(fleet: &Fleet) -> Script {
     let hosts: Vec<(usize, usize)> = fleet
         .fabrics
@@ -53,7 +53,7 @@
     let count = failed + restarted;
     let mut steps = Vec::new();
     for i in 0..count {
-        // A stride without common factor visits no host twice and no domain in a row.
+        // A coprime stride visits no host twice and no domain twice in a row.
         let (fabric, n) = hosts[(i * 37 + 11) % hosts.len()];
         let at = (10 + 3400 * i / count) as u64;
         let fault = match i {
@@ -114,7 +114,7 @@
             steps: Cow::Borrowed(&[(10, Member(0, 0, 0), Die), (12, Member(0, 1, 1), Die)]),
         },
         Script {
-            name: "two groups miss hosts for long",
+            name: "two groups lose hosts for long",
             duration: 1500,
             steps: Cow::Borrowed(&[
                 (10, Member(2, 0, 0), Pause(600)),
@@ -123,12 +123,12 @@
             ]),
         },
         Script {
-            name: "fabric domain dark, short",
+            name: "fabric domain unreachable, short",
             duration: 600,
             steps: Cow::Borrowed(&[(10, Fabric(1), Pause(20))]),
         },
         Script {
-            name: "fabric domain dark, long",
+            name: "fabric domain unreachable, long",
             duration: 1500,
             steps: Cow::Borrowed(&[(10, Fabric(1), Pause(600))]),
         },
@@ -138,7 +138,7 @@
             steps: Cow::Borrowed(&[(10, Fabric(3), Restart(180))]),
         },
         Script {
-            name: "failure domain dark",
+            name: "failure domain unreachable",
             duration: 1200,
             steps: Cow::Borrowed(&[(10, Failure(2), Pause(300))]),
         },
@@ -152,7 +152,7 @@
             ]),
         },
         Script {
-            name: "a death while another is mended",
+            name: "a host dies during a repair",
             duration: 1200,
             steps: Cow::Borrowed(&[
                 (10, Member(3, 0, 0), Die),
--- a/crates/group/examples/repair/sim.rs
+++ b/crates/group/examples/repair/sim.rs
@@ -1,4 +1,4 @@
-//! A few lines of hosts and a table in memory, enough to play faults over the pure policy.
+//! In-memory simulation of hosts and a table around the pure policy.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -14,28 +14,28 @@
 };
 use smol_str::{SmolStr, format_smolstr};
 
-/// Time between two rounds; hosts are probed and rows read once in each.
+/// Duration of one step; hosts are probed and rows read once in each.
 pub(crate) const STEP: Duration = Duration::from_millis(500);
-/// Time until a transaction or an order is answered.
+/// Response time of a transaction or an order.
 const RESPONSE_TIME: Duration = Duration::from_millis(50);
-/// Most rounds of planning in one step.
+/// Maximum number of planning rounds in one step.
 const MAX_ROUNDS: u32 = 8;
-/// Models whose weights a host can hold at once.
+/// Number of models whose weights a host can hold.
 const WARM_LIMIT: usize = 2;
-/// How late the host list shows a change.
+/// Delay until the host list shows a change.
 const LIST_LAG: Duration = Duration::from_secs(5);
 
 /// What happens to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// It stops for so many seconds and goes on as if nothing had happened.
+    /// It stops for this many seconds and resumes with its state.
     Pause(u64),
-    /// It is down for so many seconds and comes back empty.
+    /// It is down for this many seconds and returns without its state.
     Restart(u64),
-    /// It never comes back; the host list drops it after two minutes.
+    /// It never returns; the host list drops it after two minutes.
     Die,
-    /// It is announced as leaving, goes after so many seconds, and a new host takes its
-    /// place five minutes later.
+    /// It is listed as leaving, leaves after this many seconds, and is replaced by a new host
+    /// five minutes later.
     Leave(u64),
 }
 
@@ -48,20 +48,20 @@
     pub(crate) fence: u64,
     pub(crate) checks_orders: bool,
     pub(crate) warm: Vec<SmolStr>,
-    /// Bytes that it has yet to load for its placement.
-    pub(crate) to_load: u64,
-    /// Until when it doesn't run; `None` while it runs.
+    /// Bytes left to load for its placement.
+    pub(crate) bytes_to_load: u64,
+    /// Until when it is down; `None` while it is up.
     pub(crate) down_until: Option<Instant>,
-    /// Whether it comes back empty.
+    /// Whether it returns without its state.
     loses_state: bool,
-    /// Whether and when the host list changes its line.
-    listing: Option<(Instant, Option<HostState>)>,
+    /// When its host list entry changes, and to which state; `None` if no change is due.
+    list_change: Option<(Instant, Option<HostState>)>,
     listed: bool,
-    /// When it goes after it was announced as leaving.
+    /// When it leaves after being listed as leaving.
     departs_at: Option<Instant>,
     report: Arc<HostReport>,
     running: u32,
-    /// Whether it takes no orders.
+    /// Whether it ignores orders.
     pub(crate) ignores_orders: bool,
 }
 
@@ -87,10 +87,10 @@
             fence: 0,
             checks_orders,
             warm: Vec::new(),
-            to_load: 0,
+            bytes_to_load: 0,
             down_until: None,
             loses_state: false,
-            listing: None,
+            list_change: None,
             listed: true,
             departs_at: None,
         }
@@ -101,15 +101,15 @@
     }
 
     pub(crate) fn is_ready(&self) -> bool {
-        self.placement.is_some() && self.to_load == 0
+        self.placement.is_some() && self.bytes_to_load == 0
     }
 
-    /// Its newest report; made anew only after a change.
+    /// Its newest report; rebuilt only after a change.
     pub(crate) fn report(&self) -> Arc<HostReport> {
         self.report.clone()
     }
 
-    /// Sets the number of requests that it reports.
+    /// Sets the number of running requests in its report.
     #[allow(dead_code)] // For the tests, which share this file.
     pub(crate) fn set_running(&mut self, running: u32) {
         self.running = running;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Obeys an order, or refuses it if it checks orders and has obeyed a higher fence.
+    /// Obeys an order, or refuses it if the host checks orders and has seen a higher fence.
     pub(crate) fn obey(&mut self, order: &Order, load_bytes: u64) {
         if self.ignores_orders || (self.checks_orders && order.fence < self.fence) {
             return;
@@ -147,7 +147,7 @@
                 };
                 if self.placement.as_ref().is_some_and(same) {
                     self.placement = None;
-                    self.to_load = 0;
+                    self.bytes_to_load = 0;
                 }
             }
         }
@@ -159,7 +159,7 @@
             return;
         }
         let weights = weights_name(&placement.model, &placement.version);
-        self.to_load = if self.warm.contains(&weights) {
+        self.bytes_to_load = if self.warm.contains(&weights) {
             0
         } else {
             load_bytes
@@ -171,9 +171,9 @@
         let Some(placement) = &self.placement else {
             return;
         };
-        self.to_load = self.to_load.saturating_sub(bytes);
+        self.bytes_to_load = self.bytes_to_load.saturating_sub(bytes);
         let weights = weights_name(&placement.model, &placement.version);
-        if self.to_load == 0 && !self.warm.contains(&weights) {
+        if self.bytes_to_load == 0 && !self.warm.contains(&weights) {
             self.warm.push(weights);
             let excess = self.warm.len().saturating_sub(WARM_LIMIT);
             self.warm.drain(..excess);
@@ -181,9 +181,12 @@
         self.update_report();
     }
 
-    /// Whether nothing is about to happen to it.
+    /// Whether no change to it is pending.
     fn is_idle(&self) -> bool {
-        self.is_up() && self.to_load == 0 && self.listing.is_none() && self.departs_at.is_none()
+        self.is_up()
+            && self.bytes_to_load == 0
+            && self.list_change.is_none()
+            && self.departs_at.is_none()
     }
 
     pub(crate) fn go_down(&mut self, until: Instant, empty: bool) {
@@ -199,29 +202,29 @@
             Fault::Restart(s) => self.go_down(after(s), true),
             Fault::Die => {
                 self.go_down(never, true);
-                self.listing = Some((after(120), None));
+                self.list_change = Some((after(120), None));
             }
             Fault::Leave(s) => {
-                self.listing = Some((now + LIST_LAG, Some(HostState::Leaving)));
+                self.list_change = Some((now + LIST_LAG, Some(HostState::Leaving)));
                 self.departs_at = Some(after(s));
             }
         }
     }
 
-    /// Lets time pass; whether its line in the host list changed.
+    /// Advances to `now`; returns whether its host list entry changed.
     pub(crate) fn advance(&mut self, now: Instant) -> bool {
         if self.departs_at.is_some_and(|at| now >= at) {
             self.departs_at = None;
             self.go_down(now + Duration::from_secs(300), true);
-            self.listing = Some((now + LIST_LAG, None));
+            self.list_change = Some((now + LIST_LAG, None));
         }
         if self.down_until.is_some_and(|at| now >= at) {
             self.come_up(now);
         }
-        if let Some((at, state)) = self.listing
+        if let Some((at, state)) = self.list_change
             && now >= at
         {
-            self.listing = None;
+            self.list_change = None;
             self.listed = state.is_some();
             self.entry.state = state.unwrap_or(HostState::Live);
             return true;
@@ -234,38 +237,38 @@
         if self.loses_state {
             self.incarnation += 1;
             self.placement = None;
-            self.to_load = 0;
+            self.bytes_to_load = 0;
             self.warm.clear();
             self.fence = 0;
             self.update_report();
         }
         if !self.listed {
-            self.listing = Some((now + LIST_LAG, Some(HostState::Live)));
+            self.list_change = Some((now + LIST_LAG, Some(HostState::Live)));
         }
     }
 }
 
-/// Rates of the weight store.
+/// Throughput of the weight store.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Store {
-    /// For all loads together, in bytes a second.
+    /// For all loads together, in bytes per second.
     pub(crate) rate: u64,
-    /// For one host, in bytes a second.
+    /// For one host, in bytes per second.
     pub(crate) host_rate: u64,
 }
 
 /// Totals of one run.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct Totals {
-    /// Seconds in which wanted groups could not serve, summed over them.
+    /// Group downtime in seconds, summed over all configured groups.
     pub(crate) downtime: f64,
-    /// Seconds in which healthy accelerators that a group lacked were idle, summed over them.
+    /// Accelerator-seconds in which healthy accelerators were idle while groups lacked hosts.
     pub(crate) stranded: f64,
     /// Transactions committed.
     pub(crate) transactions: u64,
-    /// Most transactions in one round.
+    /// Maximum number of transactions in one round.
     pub(crate) max_transactions: u64,
-    /// Most hosts that loaded at once.
+    /// Maximum number of concurrent loads.
     pub(crate) max_loads: u64,
 }
 
@@ -292,7 +295,7 @@
     pub(crate) totals: Totals,
     pub(crate) store: Store,
     list_changed: bool,
-    /// Steps since the planner last did anything.
+    /// Steps since the planner last acted.
     idle_steps: u32,
 }
 
@@ -323,10 +326,10 @@
         }
     }
 
-    /// One step: time passes, hosts are probed, rows are read, and the plan is carried out.
+    /// Runs one step: time advances, hosts are probed, rows are read, and the plan is executed.
     ///
-    /// The planner goes on as soon as a transaction or order is answered, which
-    /// takes [`RESPONSE_TIME`], and doesn't wait for the next probe.
+    /// The planner continues as soon as a transaction or order completes, which takes
+    /// [`RESPONSE_TIME`], and doesn't wait for the next probe.
     pub(crate) fn step(&mut self) -> Vec<Action> {
         let next = self.now + STEP;
         self.advance();
@@ -359,7 +362,7 @@
         }
     }
 
-    /// Gives every host all weights, as if spares had had time to load.
+    /// Warms every host for all models.
     pub(crate) fn warm_all(&mut self) {
         let all: Vec<SmolStr> = self.view.weights.keys().cloned().collect();
         for host in self.hosts.values_mut() {
@@ -370,7 +373,7 @@
         self.observe();
     }
 
-    /// Whether nothing will happen until the next fault.
+    /// Whether nothing changes until the next fault.
     pub(crate) fn is_idle(&self) -> bool {
         let settled = self.view.groups.values().all(|g| g.is_live() && g.serving);
         self.idle_steps > 4 && settled && self.hosts.values().all(FakeHost::is_idle)
@@ -385,20 +388,20 @@
 
     fn advance(&mut self) {
         let now = self.now;
-        let loading = |h: &&mut FakeHost| h.is_up() && h.to_load > 0;
+        let loading = |h: &&mut FakeHost| h.is_up() && h.bytes_to_load > 0;
         let count = self.hosts.values_mut().filter(loading).count() as u64;
         let each = self.store.host_rate.min(self.store.rate / count.max(1));
         let bytes = each * STEP.as_millis() as u64 / 1000;
         for host in self.hosts.values_mut() {
             self.list_changed |= host.advance(now);
-            if host.is_up() && host.to_load > 0 {
+            if host.is_up() && host.bytes_to_load > 0 {
                 host.load(bytes);
             }
         }
         self.totals.max_loads = self.totals.max_loads.max(count);
     }
 
-    /// Brings the view up to date, as the node crate does with real answers.
+    /// Updates the view, as the node crate does from real responses.
     pub(crate) fn observe(&mut self) {
         let now = self.now;
         if std::mem::take(&mut self.list_changed) {
@@ -507,7 +510,7 @@
         sizes.max().unwrap_or(1)
     }
 
-    /// Commits a change if all its expectations hold.
+    /// Commits a transaction if all its preconditions hold.
     pub(crate) fn commit(&mut self, transaction: &Transaction) -> bool {
         let version = |key: &SmolStr| match self.rows.get(key) {
             None | Some((_, RowValue::Absent)) => 0,
@@ -531,7 +534,7 @@
         true
     }
 
-    /// Whether a group with this row can truly serve at this moment.
+    /// Whether a group with this row can actually serve now.
     pub(crate) fn is_serving(&self, row: &GroupRow) -> bool {
         row.phase == GroupPhase::Formed
             && self.view.groups.get(&row.group).is_some_and(|g| g.serving)
@@ -554,26 +557,28 @@
         use eelgrassmill_config::ServiceKind::Model;
         let serving = self.serving_groups();
         let busy: BTreeSet<&HostId> = serving.iter().flat_map(|r| &r.members).collect();
-        let mut lacking = 0;
+        let mut missing_hosts = 0;
         let mut down = 0;
         for service in self.view.config.services.values() {
             if let Model(model) = &service.kind {
-                let have = serving.iter().filter(|r| r.service == service.name).count();
-                let less = (model.groups as usize).saturating_sub(have);
-                down += less;
-                lacking += less * model.hosts_per_group as usize;
+                let serving_count = serving.iter().filter(|r| r.service == service.name).count();
+                let shortfall = (model.groups as usize).saturating_sub(serving_count);
+                down += shortfall;
+                missing_hosts += shortfall * model.hosts_per_group as usize;
             }
         }
         let healthy = self.hosts.values().filter(|h| h.is_up());
         let idle = healthy.filter(|h| !busy.contains(&h.entry.id));
-        let accelerators = idle.take(lacking).map(|h| u64::from(h.entry.accelerators));
+        let accelerators = idle
+            .take(missing_hosts)
+            .map(|h| u64::from(h.entry.accelerators));
         let stranded: u64 = accelerators.sum();
         self.totals.downtime += down as f64 * STEP.as_secs_f64();
         self.totals.stranded += stranded as f64 * STEP.as_secs_f64();
     }
 }
 
-/// A host list line.
+/// A host list entry.
 pub(crate) fn entry(id: &str, failure: &str, fabric: &str, accelerators: u32) -> HostEntry {
     HostEntry {
         id: id.into(),
--- a/crates/group/tests/evidence.rs
+++ b/crates/group/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Wholeness: who watches, what a watcher finds, and what that lets a node serve.
+//! Group health: watcher selection, verdicts, and whether a node may serve a group.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -63,7 +63,7 @@
     }
 }
 
-/// Each way in which a member can differ from the row, and what is found then.
+/// Each way in which a member can differ from the row, and the resulting verdict.
 #[gtest]
 fn every_mismatch_with_the_row_is_detected() {
     let row = row(3);
@@ -112,8 +112,8 @@
     );
 }
 
-/// A member restarts between two probes and is told to join again, so that its
-/// report looks as before. The group was whole with its earlier start.
+/// A member restarts between two probes and rejoins, so that its report looks as before. The group
+/// was whole with the earlier incarnation.
 #[gtest]
 fn a_watcher_detects_a_member_restart() {
     let row = row(3);
@@ -124,7 +124,7 @@
     }
     expect_that!(watch.verdict(start).0, eq(&Verdict::Whole));
     watch.on_report(&report(&row, "h2", 2), start + MS);
-    // An answer to an older probe changes nothing.
+    // A response to an older probe is ignored.
     watch.on_report(&report(&row, "h2", 1), start);
     expect_that!(
         watch.verdict(start + MS).0,
@@ -164,8 +164,8 @@
     );
 }
 
-/// Messages overtake each other, a watcher restarts, an old epoch's message was
-/// kept in a buffer. None of them may bring back a group that has stopped.
+/// Messages arrive out of order, from an earlier incarnation of the watcher or from an old epoch.
+/// None of them may return a stopped group to service.
 #[gtest]
 fn late_messages_do_not_revive_a_group() {
     let mut store = EvidenceStore::new();
@@ -182,7 +182,7 @@
     expect_false!(store.on_evidence(&earlier_incarnation, now));
     expect_false!(store.on_evidence(&evidence("w2", 1, 2, Verdict::Whole, MS), now));
     expect_true!(stopped(&store));
-    // An older finding of another watcher does not outweigh a newer one either.
+    // An older finding of another watcher doesn't override a newer one either.
     store.on_evidence(&evidence("w2", 2, 3, Verdict::Whole, 100 * MS), now);
     expect_true!(stopped(&store));
     store.on_evidence(&evidence("w2", 3, 4, Verdict::Whole, MS), now);
@@ -191,8 +191,8 @@
     expect_that!(store.epoch("a/0"), some(eq(4)));
 }
 
-/// One watcher can't reach a host that another reaches; the host is there. A
-/// host's own word that it is elsewhere stops the group whoever hears it.
+/// If one watcher can't reach a host that another reaches, the group keeps serving. A report by
+/// the host itself that it is elsewhere stops the group, whichever watcher receives it.
 #[gtest]
 fn silence_counts_less_than_a_report() {
     let mut store = EvidenceStore::new();
@@ -236,8 +236,8 @@
     expect_that!(store.serving("a/0", later), err(anything()));
 }
 
-/// A watcher saw the group whole before a member restarted; another began to
-/// watch after that and finds nothing wrong.
+/// A watcher saw the group whole before a member restarted; another started watching afterwards
+/// and sees no problem.
 #[gtest]
 fn another_watcher_does_not_clear_a_restart() {
     let mut store = EvidenceStore::new();
@@ -255,8 +255,7 @@
     expect_that!(store.serving("a/0", now), ok(anything()));
 }
 
-/// A message waits three seconds in a buffer while the link is cut. By its
-/// sender's account it is fresh.
+/// A message is buffered for three seconds while the link is down. Its sender considers it recent.
 #[gtest]
 fn delivery_delay_counts_as_age() {
     let mut ages = AgeEstimator::new();
--- a/crates/group/tests/failures.rs
+++ b/crates/group/tests/failures.rs
@@ -1,7 +1,7 @@
-//! Failures one by one and in twos, over the real leases, planner and evidence.
+//! Single and double failures against the real leases, planner and evidence.
 //!
-//! The world's oracle looks at every step: no host in two groups, no group
-//! served without a host, no write by a planner that was replaced.
+//! The oracle checks every step: no host is in two groups, no group is served without all its
+//! hosts, and no replaced planner writes.
 
 #[path = "../examples/repair/fleets.rs"]
 #[allow(dead_code)]
@@ -24,7 +24,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Two fabric domains of five hosts and three groups of two; every other host checks orders.
+/// Two fabric domains with five hosts each and three groups of two; every other host checks orders.
 fn cluster() -> Cluster {
     let mut hosts = fleets::hosts(&[(0, 5), (1, 5)], 8);
     hosts
@@ -41,7 +41,7 @@
     let mut cluster = Cluster::new(hosts, config, RepairPolicy::new(RepairWeight::Downtime));
     assert!(
         cluster.run_until(30 * SECOND, all_served),
-        "not formed at the start"
+        "groups were not formed"
     );
     cluster.run(10 * SECOND);
     cluster
@@ -85,8 +85,8 @@
     }
 }
 
-/// A member of a group loses power and never comes back. The group is not
-/// served from two seconds after, and serves again with a spare in its place.
+/// A member fails permanently. The group must stop being served within two seconds, and serve
+/// again with a spare.
 #[gtest]
 fn a_host_that_dies_is_replaced_by_a_spare() {
     let mut cluster = cluster();
@@ -103,9 +103,8 @@
     expect_that!(now.members, not(contains(eq(&row.members[1]))));
 }
 
-/// A member is stopped for twenty seconds, is replaced meanwhile, and goes on
-/// as if nothing had happened: it still says that it belongs to the old epoch.
-/// A caller would get half an answer if its word counted.
+/// A member is paused, is replaced meanwhile, and then still reports its old epoch. If its report
+/// were trusted, a group could be served without all its members.
 #[gtest]
 fn a_returning_host_must_leave_its_old_group() {
     let mut cluster = cluster();
@@ -114,15 +113,15 @@
     inject_fault(&mut cluster, &host, Fault::Pause(20));
     assert!(cluster.run_until(15 * SECOND, |c| all_served(c)
         && c.table.groups().all(|g| !g.members.contains(&host))));
-    let away = |c: &Cluster| !c.hosts[&host].is_up();
-    assert!(away(&cluster), "it was replaced only after it came back");
-    assert!(cluster.run_until(20 * SECOND, |c| !away(c)));
+    let is_down = |c: &Cluster| !c.hosts[&host].is_up();
+    assert!(is_down(&cluster), "it was replaced only after it returned");
+    assert!(cluster.run_until(20 * SECOND, |c| !is_down(c)));
     assert!(cluster.run_until(5 * SECOND, |c| c.hosts[&host].placement.is_none()));
     expect_that!(cluster.served().len(), eq(3));
 }
 
-/// A member restarts within a second. Its probes hardly miss a beat, but it
-/// holds nothing any more, and the others talk to a process that is gone.
+/// A member restarts within a second, so that hardly a probe is lost. It has lost its state, and
+/// the other members hold connections to a process that no longer exists.
 #[gtest]
 fn a_member_that_restarts_ends_its_epoch() {
     let mut cluster = cluster();
@@ -130,58 +129,56 @@
     inject_fault(&mut cluster, &row.members[0], Fault::Restart(1));
     cluster.run(SECOND + SECOND / 2);
     let denied = cluster.entry.serving(&row.group, cluster.now);
-    let gone = matches!(
+    let not_serving = matches!(
         denied,
         Err(NotServing::Ending | NotServing::NoEvidence { .. } | NotServing::Missing { .. })
     );
     assert!(
-        gone || cluster.entry.epoch(&row.group) > Some(row.epoch),
+        not_serving || cluster.entry.epoch(&row.group) > Some(row.epoch),
         "{denied:?}"
     );
     assert!(cluster.run_until(30 * SECOND, all_served));
     expect_that!(group_at(&cluster, 0).epoch, gt(row.epoch));
 }
 
-/// All hosts of a fabric domain go dark at once and come back after half a
-/// minute. Their groups must not be served meanwhile, and the rounds stay
-/// bounded; afterwards everything serves.
+/// All hosts of a fabric domain are unreachable for 30 s. Their groups must not be served
+/// meanwhile, all others must, and afterwards everything serves.
 #[gtest]
 fn an_unreachable_fabric_domain_stops_only_its_own_groups() {
     let mut cluster = cluster();
-    let dark: Vec<SmolStr> = cluster
+    let unreachable: Vec<SmolStr> = cluster
         .hosts
         .keys()
         .filter(|h| h.starts_with("h0"))
         .cloned()
         .collect();
-    let hit: Vec<SmolStr> = cluster
+    let affected: Vec<SmolStr> = cluster
         .table
         .groups()
-        .filter(|g| dark.contains(&g.members[0]))
+        .filter(|g| unreachable.contains(&g.members[0]))
         .map(|g| g.group.clone())
         .collect();
-    for host in &dark {
+    for host in &unreachable {
         inject_fault(&mut cluster, host, Fault::Pause(30));
     }
     cluster.run(2 * SECOND + SECOND / 2);
-    for group in &hit {
+    for group in &affected {
         expect_that!(cluster.served(), not(contains(eq(group))));
     }
-    expect_that!(cluster.served().len(), eq(3 - hit.len()));
+    expect_that!(cluster.served().len(), eq(3 - affected.len()));
     assert!(cluster.run_until(60 * SECOND, all_served));
 }
 
-/// The planner is stopped between the check of its lease and the sending of a
-/// `Join`, for longer than its lease. Another node takes over and moves the
-/// host into another group; then the old order leaves. A host that checks
-/// fencing numbers refuses it.
+/// The planner is paused between its lease check and sending a `Join`, for longer than its lease.
+/// Another node takes over and moves the host into another group before the old order is sent. A
+/// host that checks fencing tokens must refuse it.
 #[gtest]
 fn a_host_that_checks_orders_refuses_a_late_one() {
     let mut cluster = cluster();
     let row = group_at(&cluster, 0);
     let host = row.members.iter().find(|h| cluster.hosts[*h].checks_orders);
     let host = host.expect("every other host checks").clone();
-    let planner = cluster.planner().expect("somebody plans");
+    let planner = cluster.planner().expect("a planner is active");
     let order = join_of(&row, &host, cluster.hosts[&host].fence);
     cluster.pause_with_order(planner, Some(order));
     inject_fault(&mut cluster, &host, Fault::Restart(3));
@@ -196,10 +193,9 @@
     expect_that!(cluster.served().len(), eq(3));
 }
 
-/// The same with a host that obeys whoever speaks last. It is torn out of its
-/// new group by an order that is long out of date. Nothing can stop that
-/// order; the sender notices, the group is out of service within the age of
-/// evidence, and the planner brings the host back.
+/// The same with a host that doesn't check orders: the stale order moves it out of its new group.
+/// The order can't be prevented, but the sender must detect it, the group must leave service
+/// within the maximum evidence age, and the planner must restore the host.
 #[gtest]
 fn a_late_order_to_a_host_that_does_not_check_it_stops_the_group() {
     let mut cluster = cluster();
@@ -214,7 +210,7 @@
         .find(obeys_all)
         .expect("as above")
         .clone();
-    let planner = cluster.planner().expect("somebody plans");
+    let planner = cluster.planner().expect("a planner is active");
     let order = join_of(&row, &host, 1);
     cluster.pause_with_order(planner, Some(order));
     let other = row
@@ -228,7 +224,11 @@
         && c.planner() != Some(planner)));
     let placed = cluster.hosts[&host].placement.clone();
     cluster.resume(planner);
-    expect_that!(cluster.late_orders.len(), eq(1), "the sender didn't notice");
+    expect_that!(
+        cluster.late_orders.len(),
+        eq(1),
+        "the sender didn't detect it"
+    );
     assert_that!(placed.as_ref().map(|p| p.epoch), some(gt(row.epoch)));
     expect_that!(cluster.hosts[&host].placement, not(eq(&placed)));
     let group = placed.map(|p| p.group).unwrap_or_default();
@@ -236,8 +236,8 @@
     assert!(cluster.run_until(60 * SECOND, all_served));
 }
 
-/// The table makes a write and its answer is lost, while a member has died.
-/// The planner reads the rows again and goes on from what they say.
+/// The table applies writes but their responses are lost while a member has failed. The planner
+/// must read the rows again and continue from them.
 #[gtest]
 fn a_lost_response_only_delays_a_repair() {
     let mut cluster = cluster();
@@ -250,8 +250,8 @@
     assert!(cluster.run_until(30 * SECOND, all_served));
 }
 
-/// A write is made seconds after its sender gave up on it. Its conditions no
-/// longer hold by then; made in spite of that it would bind hosts twice.
+/// A write is applied seconds after its sender gave up on it. Its preconditions no longer hold by
+/// then; if they were ignored, hosts would be bound twice.
 #[gtest]
 fn a_delayed_write_fails_its_preconditions() {
     let mut cluster = cluster();
@@ -264,9 +264,8 @@
     assert!(cluster.run_until(40 * SECOND, all_served));
 }
 
-/// The table is down for two minutes. Groups that are whole go on serving,
-/// since no write and no lease is needed for that. A member that dies
-/// meanwhile is replaced once the table is back.
+/// The table is unavailable for two minutes. Whole groups must keep serving, which needs no write
+/// and no lease. A member that fails meanwhile is replaced once the table is back.
 #[gtest]
 fn whole_groups_serve_during_a_table_outage() {
     let mut cluster = cluster();
@@ -283,13 +282,12 @@
     assert!(cluster.run_until(60 * SECOND, all_served));
 }
 
-/// One watcher is cut off from one host, the other is not. The host answers,
-/// so its callers should notice nothing.
+/// One watcher can't reach a host that the other one reaches. The group must keep serving.
 #[gtest]
 fn a_partition_between_one_watcher_and_a_host_stops_no_group() {
     let mut cluster = cluster();
     let host = group_at(&cluster, 0).members[0].clone();
-    let other = 1 - cluster.planner().expect("somebody plans");
+    let other = 1 - cluster.planner().expect("a planner is active");
     cluster.partition = Some((other, host));
     for _ in 0..40 {
         cluster.run(SECOND / 4);
@@ -297,26 +295,26 @@
     }
 }
 
-/// Evidence stops arriving, as when the entry is cut off from all watchers. It
-/// must not go on sending requests to groups of which it knows nothing.
+/// Evidence stops arriving, as when the entry host is partitioned from all watchers. It must stop
+/// sending requests to groups of unknown health.
 #[gtest]
 fn a_group_without_recent_evidence_is_not_served() {
     let mut cluster = cluster();
     cluster.evidence_delay = 60 * SECOND;
     cluster.run(2 * SECOND + SECOND / 4);
     expect_that!(cluster.served(), is_empty());
-    // What arrives late is as old as it is, and revives nothing.
+    // Delayed evidence keeps its age and doesn't return a group to service.
     cluster.run(70 * SECOND);
     expect_that!(cluster.served(), is_empty());
 }
 
-/// The planner dies just when a host does. The host's group waits for the next
-/// planner, whose takeover waits for the lease; no other group is touched.
+/// The planner and a host fail together. The repair waits for the next planner, whose takeover
+/// waits for the lease to expire; no other group is affected.
 #[gtest]
 fn the_planner_and_a_host_fail_together() {
     let mut cluster = cluster();
     let row = group_at(&cluster, 0);
-    let planner = cluster.planner().expect("somebody plans");
+    let planner = cluster.planner().expect("a planner is active");
     cluster.pause_with_order(planner, None);
     inject_fault(&mut cluster, &row.members[0], Fault::Die);
     cluster.run(6 * SECOND);
@@ -326,8 +324,8 @@
     expect_that!(cluster.planner(), some(not(eq(planner))));
 }
 
-/// A host is announced as leaving. Its group keeps serving until another is
-/// whole, and then no group has the host.
+/// A host is listed as leaving. Its group must keep serving until another one is whole, and
+/// afterwards no group may contain the host.
 #[gtest]
 fn a_leaving_host_is_replaced_before_it_leaves() {
     let mut cluster = cluster();
@@ -368,8 +366,8 @@
     assert!(cluster.run_until(60 * SECOND, all_served));
 }
 
-/// The planner itself is cut off from a host that everybody else reaches. The
-/// group serves; to replace it would load weights for nothing.
+/// Only the planner can't reach a host. The group serves, so replacing it would load weights
+/// needlessly.
 #[gtest]
 fn a_partition_between_the_planner_and_a_host_changes_nothing() {
     let mut cluster = cluster();
--- a/crates/group/tests/fuzz.rs
+++ b/crates/group/tests/fuzz.rs
@@ -1,4 +1,4 @@
-//! Random faults over the real leases, planner and evidence, checked by a simple oracle.
+//! Random faults against the real leases, planner and evidence, checked by a simple oracle.
 //!
 //! `GROUP_FUZZ_CASES=2000 cargo test -p eelgrassmill-group --test fuzz` runs longer.
 
@@ -45,7 +45,7 @@
     Restart(u64),
 }
 
-/// The events only; the promises are kept by the oracle of the world.
+/// Generates the events only; the cluster's oracle checks the invariants.
 struct Events;
 
 impl ReferenceStateMachine for Events {
@@ -100,7 +100,7 @@
         let config = fleets::config(services, checking.iter().map(SmolStr::as_str));
         let mut cluster = Cluster::new(hosts, config, RepairPolicy::new(RepairWeight::Downtime));
         let served = cluster.run_until(Duration::from_secs(30), |c| c.served().len() == 3);
-        assert!(served, "groups were not formed at the start");
+        assert!(served, "groups were not formed");
         cluster
     }
 
@@ -112,7 +112,7 @@
 
     fn check_invariants(_: &Cluster, _: &()) {}
 
-    /// Once every fault is over, all groups serve the wanted version again.
+    /// Once all faults have ended, all groups must serve the configured version again.
     fn teardown(mut cluster: Cluster, _: ()) {
         cluster.table.fault = None;
         cluster.evidence_delay = Duration::from_millis(20);
@@ -130,7 +130,7 @@
         let rows: Vec<_> = cluster.table.groups().collect();
         assert!(
             served,
-            "not served in time: {:?}, rows {rows:#?}",
+            "groups not served in time: {:?}, rows {rows:#?}",
             cluster.served()
         );
     }
@@ -171,7 +171,7 @@
 fn is_current(cluster: &Cluster) -> bool {
     let wanted = |row: &GroupRow| match cluster.config().services.get(&row.service).map(|s| &s.kind)
     {
-        // With the floor at all groups and no room, the floor forbids to go on.
+        // With a floor equal to the group count and no spare capacity, the rollout can't proceed.
         Some(ServiceKind::Model(model)) => {
             model.version == row.version || model.floor == model.groups
         }
@@ -214,7 +214,7 @@
     }
 }
 
-/// A `Join` that the table allows now, for a node to hold in its hand.
+/// A `Join` that the table currently allows, to be sent late by a paused node.
 fn any_join(cluster: &Cluster) -> Option<Order> {
     let group = cluster
         .table
--- a/crates/group/tests/lease.rs
+++ b/crates/group/tests/lease.rs
@@ -1,4 +1,4 @@
-//! Leases as their holder and an observer count them, and taking over.
+//! Leases as seen by their holder and an observer, and takeover.
 
 use std::time::{Duration, Instant};
 
@@ -35,9 +35,8 @@
     }
 }
 
-/// The table service takes four seconds to answer a renewal. An observer may
-/// have seen the row written at the start of them; a holder that counted from
-/// the answer would give orders when another node already does.
+/// The response to a renewal is slow. An observer may have seen the row as soon as it was written;
+/// a holder that started its term at the response would send orders after a takeover.
 #[gtest]
 fn a_slow_response_does_not_extend_a_lease() {
     let timing = LeaseTiming::default();
@@ -51,7 +50,7 @@
     expect_that!(lease.check(end), err(eq(LeaseError::Expired)));
 }
 
-/// Two renewals are answered in the wrong order. The older must not shorten the newer.
+/// Responses of two renewals arrive out of order. The older one must not shorten the lease.
 #[gtest]
 fn an_out_of_order_renewal_changes_nothing() {
     let mut lease = HeldLease::new(LeaseTiming::default(), 1);
@@ -63,8 +62,8 @@
     expect_true!(lease.valid_at(first + 6400 * MS));
 }
 
-/// The process is stopped between the check and the sending, and goes on when
-/// its lease is over. The order has left; the sender has to know.
+/// The process is paused between the check and the send, and the order is sent after the lease
+/// has expired. The sender must detect it.
 #[gtest]
 fn a_pause_while_sending_is_detected() {
     let timing = LeaseTiming::default();
@@ -73,7 +72,7 @@
     lease.record_renewal(sent, 1);
     let proof = lease.check(sent + MS).expect("valid");
     expect_that!(lease.confirm(proof, sent + 2 * MS), ok(anything()));
-    // Still in its term, but the order was longer on its way than others wait for.
+    // The lease is still valid, but the order took longer than the allowed transit time.
     let late = lease.confirm(proof, sent + timing.order_transit + 2 * MS);
     expect_that!(late, err(eq(LeaseError::ExpiredDuringSend)));
     lease.mark_taken_over();
@@ -82,7 +81,7 @@
     expect_that!(lease.check(sent + 2 * MS), err(eq(LeaseError::TakenOver)));
 }
 
-/// A lease counts as lapsed after term and margin of seeing the same row, not before.
+/// A lease has expired once the same row was observed for term plus margin, not before.
 #[gtest]
 fn an_observer_waits_term_and_margin() {
     let timing = LeaseTiming::default();
@@ -98,15 +97,15 @@
     observer.observe(&"n1".into(), 5, start + needed);
     expect_true!(observer.has_expired("n1", 5));
     expect_false!(observer.has_expired("n1", 6));
-    // A renewal begins the count anew, and an answer that it overtook is ignored.
+    // A renewal restarts the observation, and an overtaken response is ignored.
     observer.observe(&"n1".into(), 6, start + needed);
     observer.observe(&"n1".into(), 5, start + needed + MS);
     expect_false!(observer.has_expired("n1", 5));
     expect_false!(observer.has_expired("n1", 6));
 }
 
-/// The table was down for ten minutes, so nobody could renew. The first node
-/// to read again must not take over from all others at once.
+/// No node can renew during a table outage. The first node to read the table afterwards must not
+/// consider all leases expired.
 #[gtest]
 fn a_table_outage_expires_no_lease() {
     let mut observer = LeaseObserver::new(LeaseTiming::default());
@@ -128,7 +127,7 @@
     for half in 0..=14 {
         observer.observe(&"n1".into(), 9, start + half * 500 * MS);
     }
-    let step = takeover(&own, 2, &seen, &observer).expect("the lease has lapsed");
+    let step = takeover(&own, 2, &seen, &observer).expect("the lease has expired");
     let expected: Vec<_> = step
         .transaction
         .expect
@@ -153,8 +152,8 @@
     expect_that!(step.quiet_period, eq(timing.order_transit));
 }
 
-/// The planner restarted, so its lease row is a new start's. The old start's
-/// lease was not seen to lapse, and its orders may be under way for all of it.
+/// The planner restarted, so its lease row belongs to the new incarnation. The old incarnation's
+/// lease was not observed to expire, and its orders may be in flight for the whole term.
 #[gtest]
 fn without_an_observed_expiry_the_new_planner_waits_longer() {
     let timing = LeaseTiming::default();
@@ -162,7 +161,7 @@
     let own = node("n2", 1);
     let mut seen = planner_held_by(&node("n1", 4), 9);
     seen.holder = Some((node("n1", 5), 11));
-    let step = takeover(&own, 2, &seen, &observer).expect("that start is over");
+    let step = takeover(&own, 2, &seen, &observer).expect("that incarnation has ended");
     expect_that!(step.quiet_period, eq(timing.orders_expire_after()));
     let leaving = NodeRow {
         state: NodeState::Leaving,
--- a/crates/group/tests/plan.rs
+++ b/crates/group/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What the planner decides, seen through whole histories of small fleets.
+//! Planner decisions over simulated runs of small fleets.
 
 #[path = "../examples/repair/fleets.rs"]
 #[allow(dead_code)]
@@ -24,8 +24,8 @@
 const SECOND: Duration = Duration::from_secs(1);
 const GB: u64 = 1_000_000_000;
 
-/// Services as (name, groups, hosts in each, floor); hosts by (failure domain, count) of each
-/// fabric domain. A host loads a model in eight seconds at most.
+/// Simulates services given as (name, groups, hosts per group, floor) on hosts given as (failure
+/// domain, count) for each fabric domain. A host loads a model in at most eight seconds.
 fn sim(
     services: &[(&str, u32, u32, u32)],
     fabrics: &[(usize, usize)],
@@ -70,7 +70,7 @@
     all.filter(|g| g.service == service).cloned().collect()
 }
 
-/// Runs on and gives the fewest groups of a service that served at any step.
+/// Runs for `time` and returns the minimum number of serving groups of a service.
 fn min_serving(sim: &mut Simulation, service: &str, time: Duration) -> usize {
     let end = sim.now + time;
     let mut fewest = usize::MAX;
@@ -119,7 +119,7 @@
     expect_that!(serving(&sim, "a").len(), eq(3));
 }
 
-/// No host is left over, so each group has to end before it can begin anew.
+/// Without spare hosts each group has to end before it can be re-formed.
 #[gtest]
 fn a_rollout_without_spare_capacity_keeps_the_floor() {
     let mut sim = sim(&[("a", 4, 2, 3)], &[(0, 4), (1, 4)], RepairWeight::Downtime);
@@ -131,9 +131,9 @@
     expect_true!(rows.iter().all(|g| g.version == "2"));
 }
 
-/// While one of two groups is between versions, all hosts fall silent for a moment, and the
-/// other group stops with them. It would be back in half a second; were it ended for the
-/// new version now, callers would wait for as long as a group takes to load.
+/// All hosts stop answering briefly while one of two groups is being updated. The other group
+/// would resume within half a second; if it were ended for the rollout now, callers would wait
+/// for a full load.
 #[gtest]
 fn a_brief_outage_does_not_end_the_last_group_of_a_rollout() {
     let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
@@ -160,8 +160,8 @@
     matches!(action, Action::EndGroup { reason, .. } if ended(reason))
 }
 
-/// The planner is the first to know that a group serves; to the other nodes the news takes a
-/// moment. Were the last old group ended at once, their callers would find no group at all.
+/// The planner knows first that a group serves; the other nodes learn of it later. If the last old
+/// group were ended at once, callers at these nodes would find no group.
 #[gtest]
 fn a_new_group_keeps_the_floor_only_once_every_node_knows_of_it() {
     for (groups, floor, hosts) in [(2, 1, 4), (2, 2, 6)] {
@@ -195,8 +195,8 @@
     }
 }
 
-/// The last group of an old version hangs: a host has lost its place and takes no orders. The
-/// rollout must not wait for it for ever.
+/// The last group of an old version is stuck: a host has lost its placement and ignores orders.
+/// The rollout must not wait for it indefinitely.
 #[gtest]
 fn a_group_that_cannot_recover_does_not_block_a_rollout() {
     let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
@@ -237,7 +237,7 @@
     expect_true!(left.is_empty(), "{left:?}");
 }
 
-/// Requests in progress keep a group from being taken apart, but not for ever.
+/// An ending group keeps its hosts while requests are in progress.
 #[gtest]
 fn an_ending_group_is_drained_first() {
     let mut sim = sim(&[("a", 1, 2, 0)], &[(0, 3)], RepairWeight::Downtime);
@@ -252,8 +252,8 @@
     expect_false!(holds(&sim));
 }
 
-/// A whole fabric domain of twelve groups goes dark and comes back empty. The
-/// table and the weight store must not be flooded.
+/// A fabric domain with twelve groups fails and its hosts restart without state. The table and the
+/// weight store must not be overloaded.
 #[gtest]
 fn the_loss_of_a_domain_causes_no_load_storm() {
     let mut sim = sim(
@@ -262,14 +262,14 @@
         RepairWeight::Downtime,
     );
     expect_that!(serving(&sim, "a").len(), eq(24));
-    let dark: Vec<SmolStr> = sim
+    let unreachable: Vec<SmolStr> = sim
         .hosts
         .keys()
         .filter(|h| h.starts_with("h0"))
         .cloned()
         .collect();
     sim.totals = Default::default();
-    for host in &dark {
+    for host in &unreachable {
         sim.inject(host, Fault::Restart(30));
     }
     sim.run(240 * SECOND);
@@ -278,8 +278,8 @@
     expect_that!(sim.totals.max_transactions, le(32));
 }
 
-/// Two groups of two services each miss a host for long, and there is no
-/// spare. One of them is completed with the other's host.
+/// Two groups of a service each miss a host for long, and there is no spare. One of them must be
+/// completed with a host of the other.
 #[gtest]
 fn broken_groups_are_merged_when_no_spare_is_left() {
     for weight in [RepairWeight::Downtime, RepairWeight::Stranded] {
@@ -293,8 +293,7 @@
     }
 }
 
-/// The service `b` can't have a group for its floor, while `a` has one more
-/// than it needs.
+/// Service `b` has no group for its floor, while `a` has one more than it requires.
 #[gtest]
 fn the_least_needed_group_is_preempted() {
     let mut sim = sim(
@@ -307,15 +306,15 @@
         sim.inject(host, Fault::Die);
     }
     sim.run(20 * SECOND);
-    expect_that!(serving(&sim, "a").len(), eq(2), "it yields too early");
+    expect_that!(serving(&sim, "a").len(), eq(2), "preempted too early");
     sim.run(60 * SECOND);
     expect_that!(serving(&sim, "b").len(), eq(1));
     expect_that!(serving(&sim, "a").len(), eq(1));
 }
 
-/// A broken group of `a` is not expected back for a long time and `b` lacks
-/// one. With the weight on stranded accelerators its healthy hosts serve `b`;
-/// with the weight on downtime they are kept together for the missing host.
+/// A broken group of `a` isn't expected to recover soon, and `b` lacks a group. With the repair
+/// weight on stranded accelerators the healthy hosts of `a` must serve `b`; with the weight on
+/// downtime they must wait for the missing hosts.
 #[gtest]
 fn the_weight_decides_whether_healthy_hosts_wait() {
     for (weight, expected) in [(RepairWeight::Downtime, 0), (RepairWeight::Stranded, 1)] {
@@ -329,7 +328,7 @@
     }
 }
 
-/// A spare that is warm replaces a host without a load.
+/// A warm spare replaces a host without a load.
 #[gtest]
 fn spares_are_warmed_in_advance() {
     let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 5)], RepairWeight::Downtime);
@@ -337,7 +336,7 @@
         .hosts
         .values()
         .find(|h| h.placement.is_none())
-        .expect("one is left");
+        .expect("a spare is left");
     expect_that!(spare.warm, not(is_empty()));
     let row = serving(&sim, "a").remove(0);
     sim.inject(&row.members[0], Fault::Die);
@@ -345,7 +344,7 @@
     expect_that!(serving(&sim, "a").len(), eq(2));
 }
 
-/// An order is repeated until the host's report shows it, not in every round.
+/// An order is resent until the host's report confirms it, but not in every round.
 #[gtest]
 fn orders_are_resent_at_an_interval() {
     let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
@@ -358,7 +357,7 @@
             |a: &Action| matches!(a, Action::SendLeave { order } if order.host == row.members[0]);
         leaves += sim.step().iter().filter(|a| sent(a)).count();
     }
-    // Twenty seconds, of which the first three drain the group; one a second at most.
+    // 20 s, of which the first three drain the group; at most one order per second.
     expect_that!(leaves, all!(ge(8), le(17)));
 }
 
@@ -382,7 +381,7 @@
         model.optimal_wait(FailureScope::Isolated, Recovery::Intact, 9 * SECOND),
         eq(Duration::ZERO)
     );
-    // What single hosts do says nothing of whole domains.
+    // Isolated failures don't affect the model of correlated ones.
     let fresh =
         RecoveryModel::new().optimal_wait(FailureScope::Correlated, Recovery::Intact, 9 * SECOND);
     expect_that!(
@@ -391,9 +390,9 @@
     );
 }
 
-/// A host is silent when its group ends. Its row may be reused only when no
-/// order that it allowed can arrive any more; a host that doesn't check orders
-/// would else be pulled out of its next group.
+/// A host is silent when its group ends. Its row may be reused only once no order that it allowed
+/// can still arrive; otherwise a host that doesn't check orders could be moved out of its next
+/// group.
 #[gtest]
 fn a_silent_host_is_freed_only_after_its_orders_expire() {
     let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
@@ -416,8 +415,8 @@
     expect_that!(freed - ended, ge(sim.policy.timing.orders_expire_after()));
 }
 
-/// Each binding and each ending gives a host a higher fence than all before,
-/// so that orders of the two can be told apart whichever arrives first.
+/// Each binding and each ending raises a host's fence, so that their orders can be distinguished
+/// in whatever order they arrive.
 #[gtest]
 fn binding_and_ending_raise_the_fence() {
     let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 6)], RepairWeight::Downtime);
@@ -443,12 +442,12 @@
             }
         }
     }
-    // Two groups of two end, two are formed, one ends.
+    // Two groups of two hosts end, two are formed, one ends.
     expect_that!(raised, ge(10));
 }
 
-/// A planner that was replaced may still have a transaction on its way. It
-/// fails, whatever it is about, because it names the planner's lease.
+/// A replaced planner may still have a transaction in flight. It must fail because the planner's
+/// lease row is one of its preconditions.
 #[gtest]
 fn planned_transactions_are_conditional_on_the_lease_and_the_planner() {
     let transaction = Transaction::new().under_lease("n1", 7, "r1", 3);
--- a/crates/group/tests/support/cluster.rs
+++ b/crates/group/tests/support/cluster.rs
@@ -1,4 +1,4 @@
-//! The world that the failure tests and the fuzzing act on.
+//! Simulated cluster for the failure and fuzz tests.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -18,15 +18,16 @@
 
 const REGION: &str = "region-1";
 
-/// What becomes of the next transactions.
+/// Fault that affects the next transactions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum TableFault {
     NoFault,
-    /// The table makes the write and its answer is lost.
+    /// The table applies the write, but the response is lost.
     ResponseLost,
-    /// The answer is lost and the table makes the write this much later, if it still may.
+    /// The response is lost, and the table applies the write this much later if its preconditions
+    /// still hold.
     Delayed(Duration),
-    /// The table can't be reached.
+    /// The table is unreachable.
     Unavailable,
 }
 
@@ -36,11 +37,11 @@
     Unknown,
 }
 
-/// Rows by key: version and value. Versions rise over deletions.
+/// Version and value of each row by key. Versions increase across deletions.
 #[derive(Default)]
 pub(crate) struct Table {
     pub(crate) rows: BTreeMap<SmolStr, (RowVersion, RowValue)>,
-    late: Vec<(Instant, Transaction, SmolStr)>,
+    delayed: Vec<(Instant, Transaction, SmolStr)>,
     pub(crate) fault: Option<TableFault>,
 }
 
@@ -102,7 +103,7 @@
     observer: LeaseObserver,
     pub(crate) view: Option<FleetView>,
     pub(crate) paused: bool,
-    /// An order that was checked before the node was paused.
+    /// An order whose lease check was done before the node was paused.
     pending_order: Option<(Order, LeaseProof)>,
     watches: BTreeMap<SmolStr, GroupWatch>,
     sequence: u64,
@@ -115,11 +116,11 @@
     pub(crate) hosts: BTreeMap<SmolStr, FakeHost>,
     pub(crate) entry: EvidenceStore,
     pub(crate) evidence_delay: Duration,
-    /// Node and host between which nothing passes.
+    /// Node and host that can't reach each other.
     pub(crate) partition: Option<(usize, SmolStr)>,
     in_flight: Vec<(Instant, Evidence)>,
     pub(crate) oracle: Oracle,
-    /// Orders that were sent outside the lease, as the check after sending found.
+    /// Orders that the check after sending found to be sent without a valid lease.
     pub(crate) late_orders: Vec<Order>,
     config: Arc<Config>,
     policy: RepairPolicy,
@@ -151,16 +152,16 @@
         cluster
     }
 
-    /// One step: time passes, nodes renew, plan and watch, evidence arrives.
+    /// Runs one step: time advances, nodes renew, plan and watch, evidence is delivered.
     pub(crate) fn step(&mut self, time: Duration) {
         self.now += time;
         for host in self.hosts.values_mut() {
             host.advance(self.now);
-            if host.is_up() && host.to_load > 0 {
+            if host.is_up() && host.bytes_to_load > 0 {
                 host.load(u64::MAX / 2);
             }
         }
-        self.apply_late();
+        self.apply_delayed();
         for n in 0..self.nodes.len() {
             if !self.nodes[n].paused {
                 self.node_step(n);
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Steps until `done`, for so long at most; whether it came about.
+    /// Steps until `done` holds or the timeout has passed; returns whether it holds.
     pub(crate) fn run_until(&mut self, timeout: Duration, done: impl Fn(&Cluster) -> bool) -> bool {
         let end = self.now + timeout;
         while self.now < end && !done(self) {
@@ -192,7 +193,7 @@
         &self.config
     }
 
-    /// Puts another configuration in force at both nodes.
+    /// Applies another configuration at both nodes.
     pub(crate) fn configure(&mut self, change: impl FnOnce(&mut Config)) {
         let mut config = (*self.config).clone();
         change(&mut config);
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Names of the groups that the entry would serve now.
+    /// Names of the groups that the entry host would serve now.
     pub(crate) fn served(&self) -> Vec<SmolStr> {
         let groups = self.entry.groups();
         groups
@@ -211,13 +212,13 @@
             .collect()
     }
 
-    /// The node that the table names as planner.
+    /// Index of the node named as planner in the table.
     pub(crate) fn planner(&self) -> Option<usize> {
         let (row, _) = self.table.planner()?;
         self.nodes.iter().position(|n| n.row.node == row.node)
     }
 
-    /// Pauses a node just after it checked its lease for an order to a host, if it has one.
+    /// Pauses a node just after it has checked its lease for an order, if one is given.
     pub(crate) fn pause_with_order(&mut self, n: usize, order: Option<Order>) {
         let node = &mut self.nodes[n];
         node.paused = true;
@@ -225,7 +226,7 @@
         node.pending_order = order.zip(proof);
     }
 
-    /// Lets a node go on; the order in its hand leaves first.
+    /// Resumes a node, which first sends its pending order.
     pub(crate) fn resume(&mut self, n: usize) {
         self.nodes[n].paused = false;
         if let Some((order, proof)) = self.nodes[n].pending_order.take() {
@@ -233,15 +234,15 @@
         }
     }
 
-    fn apply_late(&mut self) {
+    fn apply_delayed(&mut self) {
         if self.table.is_down() {
             return;
         }
         let now = self.now;
-        let (due, later) = std::mem::take(&mut self.table.late)
+        let (due, later) = std::mem::take(&mut self.table.delayed)
             .into_iter()
             .partition(|l| l.0 <= now);
-        self.table.late = later;
+        self.table.delayed = later;
         let due: Vec<(Instant, Transaction, SmolStr)> = due;
         for (_, transaction, by) in due {
             self.apply(&transaction, &by);
@@ -264,7 +265,7 @@
             TableFault::Unavailable => Answer::Unknown,
             TableFault::Delayed(time) => {
                 self.table.fault = None;
-                self.table.late.push((self.now + time, transaction, by));
+                self.table.delayed.push((self.now + time, transaction, by));
                 Answer::Unknown
             }
             TableFault::ResponseLost => {
@@ -289,15 +290,15 @@
         }
     }
 
-    /// Writes the node's lease row; one that was deleted means that another took over.
+    /// Writes the node's lease row; if the row was deleted, another node has taken over.
     fn renew(&mut self, n: usize) {
         let key = node_key(&self.nodes[n].row.node);
         let known = self.table.node(&self.nodes[n].row.node);
-        let mine = known
+        let own_row = known
             .as_ref()
             .filter(|(row, _)| row.incarnation == self.nodes[n].row.incarnation);
         let held = self.nodes[n].lease.row_version().is_some();
-        if held && mine.is_none() {
+        if held && own_row.is_none() {
             let incarnation = self.nodes[n].row.incarnation + 1;
             self.nodes[n] = node(n, incarnation, self.timing);
         }
@@ -313,8 +314,8 @@
             let version = self.table.version(&key);
             self.nodes[n].lease.record_renewal(sent, version);
         } else {
-            // After a lost answer the next reading tells; what it shows was written at `sent`
-            // or before, so counting from the earlier renewal stays on the safe side.
+            // After a lost response the next read shows the result. It was written at `sent` or
+            // before, so keeping the term of the earlier renewal is safe.
             self.nodes[n].row.renewals += 1;
         }
     }
@@ -354,7 +355,7 @@
         self.nodes[n].view.is_some() && self.nodes[n].lease.valid_at(self.now)
     }
 
-    fn reaches(&self, n: usize, host: &str) -> bool {
+    fn can_reach(&self, n: usize, host: &str) -> bool {
         let partition = self.partition.as_ref();
         self.hosts[host].is_up() && !partition.is_some_and(|(node, h)| *node == n && h == host)
     }
@@ -374,7 +375,7 @@
         let mut watches = std::mem::take(&mut self.nodes[n].watches);
         for watch in watches.values_mut() {
             let members = watch.row().members.clone();
-            for host in members.iter().filter(|h| self.reaches(n, h)) {
+            for host in members.iter().filter(|h| self.can_reach(n, h)) {
                 watch.on_report(&self.hosts[host].report(), now);
             }
             self.push_evidence(n, watch);
@@ -409,7 +410,7 @@
             .partition(ready);
         self.in_flight = later;
         let due: Vec<(Instant, Evidence)> = due;
-        // The newest first: those that it overtook must change nothing.
+        // Newest first: overtaken messages must have no effect.
         for (sent, mut evidence) in due.into_iter().rev() {
             evidence.age += now - sent;
             self.entry.on_evidence(&evidence, now);
@@ -442,8 +443,8 @@
             return;
         };
         let planner = self.table.planner();
-        let mine = planner.filter(|(row, _)| row.node == node.row.node);
-        let version = mine.map_or(0, |(_, version)| version);
+        let own_row = planner.filter(|(row, _)| row.node == node.row.node);
+        let version = own_row.map_or(0, |(_, version)| version);
         let name = node.row.node.clone();
         let guarded = transaction.under_lease(&name, own, REGION, version);
         self.commit(n, guarded);
@@ -462,16 +463,16 @@
                     _ => {}
                 }
             }
-            let gone: Vec<SmolStr> = view.groups.keys().cloned().collect();
-            for group in gone.iter().filter(|g| !names.contains(g)) {
+            let known: Vec<SmolStr> = view.groups.keys().cloned().collect();
+            for group in known.iter().filter(|g| !names.contains(g)) {
                 view.on_group_gone(group);
             }
         }
-        for host in self.hosts.keys().filter(|h| self.reaches(n, h)) {
+        for host in self.hosts.keys().filter(|h| self.can_reach(n, h)) {
             view.on_report(&self.hosts[host].report(), now);
         }
-        // The planner hears what all watchers find, not only itself: another may have seen a
-        // group whole, and a member restart, between two of its own probes.
+        // The planner uses the findings of all watchers: another one may have seen a group whole,
+        // and then a member restart, between two of the planner's own probes.
         let epochs: Vec<(SmolStr, u64)> = view
             .groups
             .values()
@@ -485,13 +486,13 @@
         }
     }
 
-    /// Sends an order; one found to have left outside the lease is noted.
+    /// Sends an order and records it if the check after sending fails.
     fn deliver(&mut self, n: usize, order: &Order, proof: LeaseProof) {
-        let stray = self.nodes[n].lease.confirm(proof, self.now).is_err();
-        if stray {
+        let is_late = self.nodes[n].lease.confirm(proof, self.now).is_err();
+        if is_late {
             self.late_orders.push(order.clone());
         }
-        if !self.reaches(n, &order.host) {
+        if !self.can_reach(n, &order.host) {
             return;
         }
         if let Some(host) = self.hosts.get_mut(&order.host) {
--- a/crates/group/tests/support/mod.rs
+++ b/crates/group/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Two nodes, a table with lost and late answers, hosts and one entry, over the real policy.
+//! A simulated cluster around the real policy: two nodes, a table with lost responses and delayed
+//! writes, hosts and one entry host.
 
 #![allow(dead_code)]
 
--- a/crates/group/tests/support/oracle.rs
+++ b/crates/group/tests/support/oracle.rs
@@ -1,4 +1,4 @@
-//! What must hold in every state, kept apart from the policy that is tested.
+//! Invariants that must hold in every state, independent of the tested policy.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -12,15 +12,15 @@
 use crate::sim::FakeHost;
 use crate::support::cluster::Table;
 
-/// A host's word that it belonged to an epoch of a group and was ready.
+/// Host, group and epoch.
 type Membership = (SmolStr, SmolStr, u64);
 
-/// Remembers what was true and when; breaks the test when a promise is broken.
+/// Records the true state of the cluster and panics if an invariant is violated.
 #[derive(Default)]
 pub(crate) struct Oracle {
-    /// When each host was last truly up and ready as a member.
+    /// When each host was last up and ready as a member.
     last_ready: BTreeMap<Membership, Instant>,
-    /// Epochs that were ever formed.
+    /// All epochs formed so far.
     epochs: BTreeSet<u64>,
     fences: BTreeMap<SmolStr, u64>,
 }
@@ -35,7 +35,8 @@
         }
     }
 
-    /// A planned transaction was made: by the planner that the table names, with a new epoch.
+    /// Checks a committed transaction: only the planner named in the table writes groups, each
+    /// formed group has a new epoch, and fences never decrease.
     pub(crate) fn record_commit(
         &mut self,
         transaction: &Transaction,
@@ -45,14 +46,18 @@
         for put in &transaction.puts {
             match &put.value {
                 RowValue::Group(row) => {
-                    assert_eq!(planner, Some(by), "a node that doesn't plan wrote {row:?}");
+                    assert_eq!(
+                        planner,
+                        Some(by),
+                        "a node that is not the planner wrote {row:?}"
+                    );
                     if row.phase != GroupPhase::Ending {
                         assert!(self.epochs.insert(row.epoch), "epoch used twice: {row:?}");
                     }
                 }
                 RowValue::Host(row) => {
                     let fence = self.fences.entry(row.host.clone()).or_default();
-                    assert!(row.fence >= *fence, "fence fell: {row:?}");
+                    assert!(row.fence >= *fence, "fence decreased: {row:?}");
                     *fence = row.fence;
                 }
                 _ => {}
@@ -60,7 +65,7 @@
         }
     }
 
-    /// A host that checks orders never goes back to an older epoch.
+    /// Checks that a host that checks orders never returns to an older epoch.
     pub(crate) fn check_order(
         &self,
         order: &Order,
@@ -99,13 +104,13 @@
                 let state = &hosts[host];
                 assert!(
                     !late,
-                    "{group} is served without {host}, last there {seen:?}: {state:?}"
+                    "{group} is served without {host}, last ready {seen:?}: {state:?}"
                 );
             }
         }
     }
 
-    /// Every member of a live group is bound to it, and so to no other.
+    /// Checks that every member of a live group is bound to it and so to no other.
     fn check_table(&self, table: &Table) {
         for group in table.groups().filter(|g| g.phase != GroupPhase::Ending) {
             for member in &group.members {
