--- a/crates/route/tests/queue.rs
+++ b/crates/route/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The service queue: order, bounds, deadlines, and every request's one fate.
+//! Tests of the service queue: order, limits, deadlines, and one outcome per request.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -19,7 +19,7 @@
     urgent: 1,
 };
 
-fn offer(tenant: &str, urgency: u8, tokens: u64, deadline: Instant) -> AdmissionRequest {
+fn request(tenant: &str, urgency: u8, tokens: u64, deadline: Instant) -> AdmissionRequest {
     AdmissionRequest {
         tenant: tenant.into(),
         weight: 1,
@@ -30,23 +30,22 @@
     }
 }
 
-/// Runs requests one after the other and gives the order in which they start.
+/// Dequeues all requests one after the other and returns their order.
 fn drain(queue: &mut ServiceQueue<&'static str>, now: Instant) -> Vec<&'static str> {
     std::iter::from_fn(|| queue.dequeue(ONE, now).map(|s| s.payload)).collect()
 }
 
-/// A council digest fills the queue and a guest's refund check comes in behind it.
-/// Without the classes, the guest would wait for all of the digest.
+/// Guards against an urgent request waiting for all drafts queued before it.
 #[googletest::test]
-fn an_urgent_call_passes_drafts() {
+fn urgent_request_overtakes_drafts() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
     for draft in ["draft 1", "draft 2", "draft 3"] {
-        q.admit(offer("a", 3, 500, now + 60 * SECOND), draft, now)
+        q.admit(request("a", 3, 500, now + 60 * SECOND), draft, now)
             .expect("room");
     }
     expect_that!(q.dequeue(ONE_URGENT, now), none());
-    q.admit(offer("b", 1, 20, now + 60 * SECOND), "refund", now)
+    q.admit(request("b", 1, 20, now + 60 * SECOND), "refund", now)
         .expect("room");
     let started = q.dequeue(ONE_URGENT, now).expect("the urgent call");
     expect_that!(
@@ -59,17 +58,17 @@
     );
 }
 
-/// One tenant marks everything urgent. It gets ahead by its lead and no further; then
-/// the others' drafts have their turns.
+/// Guards against a tenant that marks every request urgent starving the others' drafts:
+/// it may get ahead by its lead and no further.
 #[googletest::test]
-fn a_tenant_that_marks_all_urgent_gains_only_its_lead() {
+fn marking_all_requests_urgent_gains_only_the_lead() {
     let now = Instant::now();
     let lead = 1000;
     let mut q = ServiceQueue::new(QueueOptions::default().urgent_lead(lead).burst(0));
     for _ in 0..50 {
-        q.admit(offer("cheat", 0, 100, now + 60 * SECOND), "cheat", now)
+        q.admit(request("cheat", 0, 100, now + 60 * SECOND), "cheat", now)
             .expect("room");
-        q.admit(offer("fair", 3, 100, now + 60 * SECOND), "fair", now)
+        q.admit(request("fair", 3, 100, now + 60 * SECOND), "fair", now)
             .expect("room");
     }
     let order = drain(&mut q, now);
@@ -78,18 +77,19 @@
     expect_that!(count("cheat") - count("fair"), le(lead / 100 + 2));
 }
 
-/// Tenants with weights 3 and 1 both send more than is served. Tokens go three to one,
-/// also when one of them estimates badly, since estimates are settled.
+/// Guards against bad estimates distorting the fair order. Two tenants with weights 3 and
+/// 1 both overload the service, and one overestimates its tokens; since the charge is
+/// corrected on completion, tokens are still shared three to one.
 #[googletest::test]
-fn tokens_follow_weights_after_settling() {
+fn used_tokens_follow_weights() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
     let mut served: BTreeMap<&str, u64> = BTreeMap::new();
     for _ in 0..100 {
-        let mut large = offer("large", 3, 1000, now + 60 * SECOND);
+        let mut large = request("large", 3, 1000, now + 60 * SECOND);
         large.weight = 3;
         q.admit(large, "large", now).expect("room");
-        q.admit(offer("small", 3, 10, now + 60 * SECOND), "small", now)
+        q.admit(request("small", 3, 10, now + 60 * SECOND), "small", now)
             .expect("room");
     }
     for _ in 0..80 {
@@ -101,23 +101,24 @@
     expect_that!(ratio, near(3.0, 0.3));
 }
 
-/// One tenant has filled the queue. Another's request still gets in: the greedy one's
-/// youngest request gives way and is told so at once, as its own fault.
+/// Guards against one tenant filling the queue and locking out the others. Another
+/// tenant's request displaces the youngest one of the tenant that holds the most, which
+/// is refused immediately with a reason caused by the tenant.
 #[googletest::test]
-fn a_full_queue_refuses_the_greedy_tenant() {
+fn full_queue_displaces_the_tenant_that_holds_most() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default().max_queue(3));
     for name in ["first", "second", "third"] {
-        q.admit(offer("greedy", 3, 10, now + 60 * SECOND), name, now)
+        q.admit(request("greedy", 3, 10, now + 60 * SECOND), name, now)
             .expect("room");
     }
-    let again = q.admit(offer("greedy", 3, 10, now + 60 * SECOND), "fourth", now);
+    let refused = q.admit(request("greedy", 3, 10, now + 60 * SECOND), "fourth", now);
     expect_that!(
-        again.map_err(|r| r.reason),
+        refused.map_err(|r| r.reason),
         err(eq(RefusalReason::OverFairShare))
     );
     expect_that!(
-        q.admit(offer("b", 3, 10, now + 60 * SECOND), "other", now),
+        q.admit(request("b", 3, 10, now + 60 * SECOND), "other", now),
         ok(anything())
     );
     let out = q.take_refused(now);
@@ -126,74 +127,73 @@
     expect_that!(out[0].1.reason.caused_by_tenant(), eq(true));
 }
 
-/// The queue is as long as a minute's work and a caller has ten seconds. Told at once,
-/// it can go elsewhere; kept, it would wait ten seconds for nothing.
+/// Guards against queueing requests that are bound to miss their deadline. The queue holds
+/// a minute of work and the caller has ten seconds; refused immediately, it can retry at
+/// another entry.
 #[googletest::test]
-fn what_cannot_be_answered_in_time_is_refused_at_once() {
+fn request_that_would_miss_its_deadline_is_refused_immediately() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
-    q.admit(offer("a", 3, 100, now + 600 * SECOND), "pace", now)
+    q.admit(request("a", 3, 100, now + 600 * SECOND), "pace", now)
         .expect("room");
     let started = q.dequeue(ONE, now).expect("work");
     let now = now + 10 * SECOND;
     q.complete(started.ticket, 100, now);
     for _ in 0..6 {
-        q.admit(offer("a", 3, 100, now + 600 * SECOND), "work", now)
+        q.admit(request("a", 3, 100, now + 600 * SECOND), "work", now)
             .expect("room");
     }
     q.dequeue(ONE, now).expect("work");
     let late = q
-        .admit(offer("a", 3, 50, now + 10 * SECOND), "late", now)
+        .admit(request("a", 3, 50, now + 10 * SECOND), "late", now)
         .expect_err("no time");
     expect_that!(late.reason, eq(RefusalReason::DeadlineTooNear));
     expect_that!(late.retry_after, ge(30 * SECOND));
-    // Another tenant's turn comes sooner.
-    q.admit(offer("b", 3, 50, now + 10 * SECOND), "kept", now)
+    // Another tenant is served earlier in the fair order.
+    q.admit(request("b", 3, 50, now + 10 * SECOND), "kept", now)
         .expect("in time");
-    // It needs five seconds, so it is given up five seconds before its deadline.
+    // It runs for five seconds, so it expires five seconds before its deadline.
     expect_that!(q.next_deadline(), some(eq(now + 5 * SECOND)));
     expect_that!(q.take_refused(now + 4 * SECOND), is_empty());
     expect_that!(q.take_refused(now + 5 * SECOND).len(), eq(1));
 }
 
-/// A stuck engine has made the measured pace very slow, and it has been replaced since.
-/// Judged by the old pace for good, every request would be refused, none would run, and
-/// nothing would ever correct the pace.
+/// Guards against a stale service time that refuses every request: a stuck engine, since
+/// replaced, left a very long one. If no request ran, it would never be measured again.
 #[googletest::test]
-fn an_old_pace_does_not_refuse_for_good() {
+fn stale_service_time_does_not_refuse_forever() {
     let mut now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
-    q.admit(offer("a", 3, 100, now + 600 * SECOND), "stuck", now)
+    q.admit(request("a", 3, 100, now + 600 * SECOND), "stuck", now)
         .expect("room");
     let stuck = q.dequeue(ONE, now).expect("work");
     now += 300 * SECOND;
     q.complete(stuck.ticket, 100, now);
     for _ in 0..3 {
-        q.admit(offer("a", 3, 100, now + 10 * SECOND), "probe", now)
-            .expect("an idle service tries");
+        q.admit(request("a", 3, 100, now + 10 * SECOND), "probe", now)
+            .expect("an idle service admits any request");
         let probe = q.dequeue(ONE, now).expect("work");
         now += 2 * SECOND;
         q.complete(probe.ticket, 100, now);
         now += 60 * SECOND;
     }
-    q.admit(offer("a", 3, 100, now + 600 * SECOND), "running", now)
+    q.admit(request("a", 3, 100, now + 600 * SECOND), "running", now)
         .expect("room");
     q.dequeue(ONE, now).expect("work");
     expect_that!(
-        q.admit(offer("a", 3, 100, now + 10 * SECOND), "next", now),
+        q.admit(request("a", 3, 100, now + 10 * SECOND), "next", now),
         ok(anything())
     );
 }
 
-/// A hundred callers are refused in one instant. With the same time to come back, they
-/// would all come back in one instant too.
+/// Guards against callers that are refused at the same time retrying at the same time.
 #[googletest::test]
-fn refused_callers_come_back_spread() {
+fn retry_after_is_jittered() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default().max_queue(0));
     let times: std::collections::BTreeSet<Duration> = (0..100)
         .map(|_| {
-            q.admit(offer("a", 3, 1, now + SECOND), "x", now)
+            q.admit(request("a", 3, 1, now + SECOND), "x", now)
                 .expect_err("full")
                 .retry_after
         })
@@ -201,22 +201,22 @@
     expect_that!(times.len(), ge(90));
 }
 
-/// One tenant sends to all entries and another to this one only. Were each entry fair by
-/// itself alone, the first would get a share at each of them. What it used elsewhere is
-/// charged here, up to a bound: hours of idle slots elsewhere must not shut it out.
+/// Guards against a tenant that sends to all entries getting a share at each of them. Its
+/// usage at other entries is charged here, up to a bound: hours of using idle slots there
+/// must not lock it out here.
 #[googletest::test]
-fn what_a_tenant_used_elsewhere_counts_here() {
+fn remote_usage_is_charged_up_to_a_bound() {
     let now = Instant::now();
     let order = |elsewhere: i64| {
         let mut q = ServiceQueue::new(QueueOptions::default().burst(1000));
         for _ in 0..30 {
             q.admit(
-                offer("everywhere", 3, 100, now + 60 * SECOND),
+                request("everywhere", 3, 100, now + 60 * SECOND),
                 "everywhere",
                 now,
             )
             .expect("room");
-            q.admit(offer("here", 3, 100, now + 60 * SECOND), "here", now)
+            q.admit(request("here", 3, 100, now + 60 * SECOND), "here", now)
                 .expect("room");
         }
         let tenant = "everywhere".into();
@@ -236,13 +236,13 @@
     expect_that!(order(1_000_000), eq(5));
 }
 
-/// Entries tell each other what was really used. Told the estimates only, a tenant that
-/// always asks for too many tokens would be charged for them at every other entry.
+/// Guards against reporting estimates to other entries: a tenant that always requests too
+/// many tokens would be charged for them at every other entry.
 #[googletest::test]
-fn usage_told_to_others_is_what_was_used() {
+fn reported_usage_is_the_tokens_actually_used() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
-    q.admit(offer("a", 3, 1000, now + 60 * SECOND), "draft", now)
+    q.admit(request("a", 3, 1000, now + 60 * SECOND), "draft", now)
         .expect("room");
     let started = q.dequeue(ONE, now).expect("work");
     let used = |tokens| TenantUsage {
@@ -256,15 +256,15 @@
     expect_that!(q.take_usage(), is_empty());
 }
 
-/// A greedy tenant's drafts hold every slot each time a guest's refund check comes in. The
-/// youngest draft is cancelled and goes on later; none is cancelled twice, or it would
-/// never end.
+/// Guards against a request being preempted repeatedly, so that it never ends. One
+/// tenant's drafts occupy every slot whenever another's urgent request arrives; the
+/// youngest draft is preempted and resumed later, but only once.
 #[googletest::test]
-fn a_draft_over_its_share_gives_way_once() {
+fn draft_of_a_tenant_over_its_share_is_preempted_once() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
     for _ in 0..4 {
-        q.admit(offer("greedy", 3, 500, now + 600 * SECOND), "draft", now)
+        q.admit(request("greedy", 3, 500, now + 600 * SECOND), "draft", now)
             .expect("room");
     }
     let mut first: Vec<Ticket> = (0..4)
@@ -272,7 +272,7 @@
         .collect();
     expect_that!(q.preemption_victim(Slots::NONE, |_| true), none());
     while let Some(youngest) = first.pop() {
-        q.admit(offer("guest", 1, 20, now + 60 * SECOND), "refund", now)
+        q.admit(request("guest", 1, 20, now + 60 * SECOND), "refund", now)
             .expect("room");
         expect_that!(q.preemption_victim(ONE, |_| true), none());
         expect_that!(
@@ -285,30 +285,30 @@
         q.complete(refund.ticket, 20, now);
         expect_that!(q.dequeue(ONE, now).map(|s| s.payload), some(eq("draft")));
     }
-    q.admit(offer("guest", 1, 20, now + 60 * SECOND), "refund", now)
+    q.admit(request("guest", 1, 20, now + 60 * SECOND), "refund", now)
         .expect("room");
     expect_that!(q.preemption_victim(Slots::NONE, |_| true), none());
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Offer {
+    Admit {
         tenant: u8,
         urgency: u8,
         tokens: u64,
         seconds: u32,
     },
-    Start {
+    Dequeue {
         normal: bool,
     },
-    Settle {
+    Complete {
         at: usize,
     },
     Cancel {
         at: usize,
     },
     Preempt,
-    Wait {
+    Advance {
         millis: u64,
     },
 }
@@ -316,13 +316,13 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
         6 => (0..4u8, 0..8u8, 1..2000u64, 0..40u32).prop_map(|(tenant, urgency, tokens, seconds)| {
-            Step::Offer { tenant, urgency, tokens, seconds }
+            Step::Admit { tenant, urgency, tokens, seconds }
         }),
-        4 => any::<bool>().prop_map(|normal| Step::Start { normal }),
-        3 => (0..32usize).prop_map(|at| Step::Settle { at }),
+        4 => any::<bool>().prop_map(|normal| Step::Dequeue { normal }),
+        3 => (0..32usize).prop_map(|at| Step::Complete { at }),
         1 => (0..32usize).prop_map(|at| Step::Cancel { at }),
         3 => Just(Step::Preempt),
-        3 => (0..5000u64).prop_map(|millis| Step::Wait { millis }),
+        3 => (0..5000u64).prop_map(|millis| Step::Advance { millis }),
     ];
     proptest::collection::vec(step, 1..150)
 }
@@ -335,11 +335,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Callers come, leave, and run out of time in any order. A request that had two
-    /// fates could run after its caller was told that it didn't; one without any would
-    /// leave its caller waiting for good.
+    /// Guards against a request with two outcomes or none, with arrivals, cancellations and
+    /// expiry in any order. With two it could run after its caller got a refusal; with none
+    /// its caller would wait forever.
     #[test]
-    fn every_request_has_exactly_one_fate(steps in steps()) {
+    fn every_request_has_exactly_one_outcome(steps in steps()) {
         let mut now = Instant::now();
         let mut preempted = 0;
         let mut q = ServiceQueue::new(QueueOptions::default().max_queue(12));
@@ -347,14 +347,14 @@
         let mut running: Vec<(Ticket, usize, Instant)> = Vec::new();
         for (id, step) in steps.into_iter().enumerate() {
             match step {
-                Step::Offer { tenant, urgency, tokens, seconds } => {
+                Step::Admit { tenant, urgency, tokens, seconds } => {
                     let deadline = now + seconds * SECOND;
-                    let offer = offer(&tenant.to_string(), urgency, tokens, deadline);
-                    if let Ok(ticket) = q.admit(offer, id, now) {
+                    let req = request(&tenant.to_string(), urgency, tokens, deadline);
+                    if let Ok(ticket) = q.admit(req, id, now) {
                         waiting.insert(id, (ticket, deadline));
                     }
                 }
-                Step::Start { normal } => {
+                Step::Dequeue { normal } => {
                     let free = if normal { ONE } else { ONE_URGENT };
                     if let Some(started) = q.dequeue(free, now) {
                         let was = waiting.remove(&started.payload);
@@ -372,7 +372,7 @@
                         waiting.insert(id, (ticket, deadline));
                     }
                 }
-                Step::Settle { at } if !running.is_empty() => {
+                Step::Complete { at } if !running.is_empty() => {
                     q.complete(running.remove(at % running.len()).0, 100, now);
                 }
                 Step::Cancel { at } if !waiting.is_empty() => {
@@ -380,7 +380,7 @@
                     let (ticket, _) = waiting.remove(&id).expect("waits");
                     proptest::prop_assert_eq!(q.cancel(ticket), Some(id));
                 }
-                Step::Wait { millis } => now += Duration::from_millis(millis),
+                Step::Advance { millis } => now += Duration::from_millis(millis),
                 _ => (),
             }
             for (id, _) in q.take_refused(now) {
@@ -390,10 +390,10 @@
             proptest::prop_assert_eq!(q.running(), running.len());
             proptest::prop_assert!(q.next_deadline().is_none_or(|at| at > now));
         }
-        // Plenty is free, so that no slot is left to tenants with nothing waiting.
-        let plenty = Slots { normal: 1000, urgent: 0 };
+        // Far more slots than requests, so that headroom withholds none.
+        let many_slots = Slots { normal: 1000, urgent: 0 };
         let left: Vec<usize> =
-            std::iter::from_fn(|| q.dequeue(plenty, now).map(|s| s.payload)).collect();
+            std::iter::from_fn(|| q.dequeue(many_slots, now).map(|s| s.payload)).collect();
         proptest::prop_assert_eq!(left.len(), waiting.len());
         proptest::prop_assert_eq!(q.demand(), Slots::NONE);
     }
--- a/crates/route/tests/quota.rs
+++ b/crates/route/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quotas under late, doubled, reordered and lost messages, and a change of issuer.
+//! Tests of quotas with late, duplicate, reordered and lost messages and a change of issuer.
 
 use std::time::{Duration, Instant};
 
@@ -46,30 +46,30 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Wait(u64),
-    Ask {
+    Advance(u64),
+    Demand {
         entry: usize,
         normal: u32,
         urgent: u32,
     },
     Deliver {
         at: usize,
-        keep: bool,
+        duplicate: bool,
     },
-    Lose {
+    Drop {
         at: usize,
     },
     Restart {
         entry: usize,
     },
     ChangeIssuer,
-    Follow {
+    FollowIssuer {
         entry: usize,
     },
 }
 
 enum Message {
-    /// To the issuer with this number.
+    /// For the issuer with this number.
     Demand(usize, QuotaDemand),
     Grant(usize, QuotaGrant),
 }
@@ -78,7 +78,7 @@
     now: Instant,
     issuers: usize,
     issuer: QuotaIssuer,
-    asks: [usize; ENTRIES],
+    issuer_of: [usize; ENTRIES],
     incarnations: [u64; ENTRIES],
     holders: Vec<QuotaHolder>,
     messages: Vec<Message>,
@@ -91,7 +91,7 @@
             now,
             issuers: 0,
             issuer: issuer(0, now),
-            asks: [0; ENTRIES],
+            issuer_of: [0; ENTRIES],
             incarnations: [1; ENTRIES],
             holders: (0..ENTRIES).map(|i| holder(i, 1)).collect(),
             messages: Vec::new(),
@@ -101,8 +101,8 @@
     fn step(&mut self, step: Step) {
         let count = self.messages.len();
         match step {
-            Step::Wait(millis) => self.now += Duration::from_millis(millis),
-            Step::Ask {
+            Step::Advance(millis) => self.now += Duration::from_millis(millis),
+            Step::Demand {
                 entry,
                 normal,
                 urgent,
@@ -110,31 +110,31 @@
                 let waiting = Slots { normal, urgent };
                 let demand = self.holders[entry].next_demand(Slots::NONE, waiting, self.now);
                 self.messages
-                    .push(Message::Demand(self.asks[entry], demand));
+                    .push(Message::Demand(self.issuer_of[entry], demand));
             }
-            Step::Deliver { at, keep } if count > 0 => self.deliver(at % count, keep),
-            Step::Lose { at } if count > 0 => drop(self.messages.remove(at % count)),
+            Step::Deliver { at, duplicate } if count > 0 => self.deliver(at % count, duplicate),
+            Step::Drop { at } if count > 0 => drop(self.messages.remove(at % count)),
             Step::Restart { entry } => {
                 self.incarnations[entry] += 1;
                 self.holders[entry] = holder(entry, self.incarnations[entry]);
-                self.follow(entry);
+                self.follow_issuer(entry);
             }
             Step::ChangeIssuer => {
                 self.issuers += 1;
                 self.issuer = issuer(self.issuers, self.now);
             }
-            Step::Follow { entry } => self.follow(entry),
+            Step::FollowIssuer { entry } => self.follow_issuer(entry),
             _ => (),
         }
     }
 
-    fn follow(&mut self, entry: usize) {
-        self.asks[entry] = self.issuers;
+    fn follow_issuer(&mut self, entry: usize) {
+        self.issuer_of[entry] = self.issuers;
         self.holders[entry].set_issuer(&format!("issuer-{}", self.issuers).into());
     }
 
-    fn deliver(&mut self, at: usize, keep: bool) {
-        let message = match (keep, &self.messages[at]) {
+    fn deliver(&mut self, at: usize, duplicate: bool) {
+        let message = match (duplicate, &self.messages[at]) {
             (false, _) => self.messages.remove(at),
             (true, Message::Demand(n, d)) => Message::Demand(*n, d.clone()),
             (true, Message::Grant(i, g)) => Message::Grant(*i, g.clone()),
@@ -166,15 +166,15 @@
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let e = 0..ENTRIES;
     let step = prop_oneof![
-        10 => (0..400u64).prop_map(Step::Wait),
+        10 => (0..400u64).prop_map(Step::Advance),
         12 => (e.clone(), 0..20u32, 0..4u32)
-            .prop_map(|(entry, normal, urgent)| Step::Ask { entry, normal, urgent }),
+            .prop_map(|(entry, normal, urgent)| Step::Demand { entry, normal, urgent }),
         24 => (0..32usize, proptest::bool::weighted(0.2))
-            .prop_map(|(at, keep)| Step::Deliver { at, keep }),
-        2 => (0..32usize).prop_map(|at| Step::Lose { at }),
+            .prop_map(|(at, duplicate)| Step::Deliver { at, duplicate }),
+        2 => (0..32usize).prop_map(|at| Step::Drop { at }),
         1 => e.clone().prop_map(|entry| Step::Restart { entry }),
         1 => Just(Step::ChangeIssuer),
-        2 => e.prop_map(|entry| Step::Follow { entry }),
+        2 => e.prop_map(|entry| Step::FollowIssuer { entry }),
     ];
     proptest::collection::vec(step, 1..200)
 }
@@ -187,11 +187,11 @@
         ..ProptestConfig::default()
     })]
 
-    /// Messages about quotas come late, twice, out of order or never, entries restart,
-    /// and another node takes over as issuer. Were more slots granted than the group has,
-    /// its queue would grow and every caller's tokens would slow down.
+    /// Guards against granting more slots than the group has, which would overload it and
+    /// slow down every caller. Messages are delayed, duplicated, reordered and lost, entries
+    /// restart, and another node takes over as issuer.
     #[test]
-    fn grants_in_force_never_exceed_the_slots(steps in steps()) {
+    fn valid_grants_never_exceed_the_slots(steps in steps()) {
         let mut world = World::new();
         for step in steps {
             world.step(step);
@@ -202,8 +202,9 @@
     }
 }
 
-/// All entries ask four times a second and one has nearly all the work: its share
-/// follows the demand, each other keeps an urgent slot, and nothing stays unused.
+/// Guards against slots left unused with skewed load. All entries send four demands a second
+/// and one has nearly all the load: it gets nearly all slots, and the others duplicate an
+/// urgent slot each.
 #[googletest::test]
 fn shares_follow_demand() {
     let mut world = World::new();
@@ -211,13 +212,19 @@
         world.now += Duration::from_millis(250);
         for i in 0..ENTRIES {
             let normal = if i == 0 { 30 } else { 1 };
-            world.step(Step::Ask {
+            world.step(Step::Demand {
                 entry: i,
                 normal,
                 urgent: 0,
             });
-            world.step(Step::Deliver { at: 0, keep: false });
-            world.step(Step::Deliver { at: 0, keep: false });
+            world.step(Step::Deliver {
+                at: 0,
+                duplicate: false,
+            });
+            world.step(Step::Deliver {
+                at: 0,
+                duplicate: false,
+            });
         }
     }
     let held: Vec<_> = world.holders.iter().map(|h| h.quota(world.now)).collect();
@@ -226,30 +233,39 @@
     expect_that!(world.granted(), eq(SLOTS));
 }
 
-/// The issuer dies. Each entry goes on with a safe part, so that callers are served
-/// while another node takes over; together the parts stay near the slots.
+/// Guards against refusing callers while there is no issuer. Without a grant each entry uses
+/// its fallback share, and the shares together don't exceed the slots.
 #[googletest::test]
-fn entries_without_an_issuer_fall_back_to_a_safe_part() {
+fn entries_without_an_issuer_use_the_fallback_share() {
     let mut world = World::new();
     world.now += QUOTA_TERM + QUOTA_CLOCK_MARGIN;
-    world.step(Step::Ask {
+    world.step(Step::Demand {
         entry: 0,
         normal: 13,
         urgent: 0,
     });
-    world.step(Step::Deliver { at: 0, keep: false });
-    world.step(Step::Deliver { at: 0, keep: false });
-    let asked = world.now;
-    expect_that!(world.holders[0].has_grant(asked + QUOTA_TERM / 2), eq(true));
-    let part = world.holders[0].quota(asked + QUOTA_TERM);
+    world.step(Step::Deliver {
+        at: 0,
+        duplicate: false,
+    });
+    world.step(Step::Deliver {
+        at: 0,
+        duplicate: false,
+    });
+    let sent_at = world.now;
+    expect_that!(
+        world.holders[0].has_grant(sent_at + QUOTA_TERM / 2),
+        eq(true)
+    );
+    let share = world.holders[0].quota(sent_at + QUOTA_TERM);
     expect_that!(
-        part,
+        share,
         eq(Slots {
             normal: 3,
             urgent: 1
         })
     );
-    expect_that!(part.normal * ENTRIES as u32, le(SLOTS.normal));
+    expect_that!(share.normal * ENTRIES as u32, le(SLOTS.normal));
     expect_that!(
         fallback_share(SLOTS, 100),
         eq(Slots {
@@ -259,20 +275,20 @@
     );
 }
 
-fn ask(holder: &mut QuotaHolder, running: u32, waiting: u32, now: Instant) -> QuotaDemand {
+fn next_demand(holder: &mut QuotaHolder, running: u32, waiting: u32, now: Instant) -> QuotaDemand {
     let slots = |normal| Slots { normal, urgent: 0 };
     holder.next_demand(slots(running), slots(waiting), now)
 }
 
-/// An entry's share has been cut and it has said so; the others use the slots. Then
-/// the older, larger grant comes in late. Taken, it would use those slots twice.
+/// Guards against accepting an older, larger grant that arrives after the newer one: its
+/// slots have been granted to other entries since.
 #[googletest::test]
-fn a_late_larger_grant_is_not_taken() {
+fn late_larger_grant_is_rejected() {
     let start = Instant::now();
     let now = start + QUOTA_TERM + QUOTA_CLOCK_MARGIN;
     let (mut issuer, mut holder) = (issuer(0, start), holder(0, 1));
-    let first = ask(&mut holder, 0, 9, now);
-    let second = ask(&mut holder, 0, 0, now);
+    let first = next_demand(&mut holder, 0, 9, now);
+    let second = next_demand(&mut holder, 0, 0, now);
     let large = issuer.on_demand(&first, now).expect("a grant");
     let small = QuotaGrant {
         slots: Slots::NONE,
@@ -284,15 +300,15 @@
     expect_that!(holder.quota(now), eq(Slots::NONE));
 }
 
-/// Another node takes over as issuer and knows nothing of the former one's grants. An
-/// entry that kept such a grant would use slots that are given to others by then.
+/// Guards against using a grant of a previous issuer. The new one doesn't know of it and
+/// may have granted the slots to others.
 #[googletest::test]
-fn a_grant_ends_with_its_issuer() {
+fn grant_ends_with_its_issuer() {
     let start = Instant::now();
     let now = start + QUOTA_TERM + QUOTA_CLOCK_MARGIN;
     let (mut issuer, mut holder) = (issuer(0, start), holder(0, 1));
     let grant = issuer
-        .on_demand(&ask(&mut holder, 0, 9, now), now)
+        .on_demand(&next_demand(&mut holder, 0, 9, now), now)
         .expect("a grant");
     expect_that!(holder.on_grant(&grant), eq(true));
     holder.set_issuer(&"issuer-1".into());
@@ -300,15 +316,15 @@
     expect_that!(holder.on_grant(&grant), eq(false));
 }
 
-/// A demand is delivered a second time, after a newer one. Believed again, it would
-/// hide what the entry has running since.
+/// Guards against a duplicate demand, delivered after a newer one, replacing the entry's
+/// current number of running requests by an old one.
 #[googletest::test]
-fn a_doubled_demand_changes_nothing() {
+fn duplicate_demand_is_ignored() {
     let start = Instant::now();
     let now = start + QUOTA_TERM + QUOTA_CLOCK_MARGIN;
     let (mut issuer, mut holder) = (issuer(0, start), holder(0, 1));
-    let first = ask(&mut holder, 0, 0, now);
-    let second = ask(&mut holder, 9, 4, now);
+    let first = next_demand(&mut holder, 0, 0, now);
+    let second = next_demand(&mut holder, 9, 4, now);
     expect_that!(issuer.on_demand(&first, now), some(anything()));
     expect_that!(issuer.on_demand(&second, now), some(anything()));
     expect_that!(issuer.on_demand(&first, now), none());
