--- a/crates/route/tests/addresses.rs
+++ b/crates/route/tests/addresses.rs
@@ -1,4 +1,4 @@
-//! Which entries callers are told.
+//! Tests of the address lists returned to callers.
 
 use std::collections::BTreeMap;
 
@@ -18,12 +18,12 @@
     (0..9).map(entry).collect()
 }
 
-fn ask(caller: &str, entries: &[EntryView]) -> AddressList {
+fn address_list(caller: &str, entries: &[EntryView]) -> AddressList {
     choose_addresses(caller, "a", entries, None, &mut fastrand::Rng::with_seed(1))
 }
 
 fn first(caller: &str, entries: &[EntryView]) -> String {
-    ask(caller, entries).addresses[0].to_string()
+    address_list(caller, entries).addresses[0].to_string()
 }
 
 fn spread(entries: &[EntryView]) -> BTreeMap<String, usize> {
@@ -36,26 +36,29 @@
     spread
 }
 
-/// Callers are spread over the entries of their own failure domain, each gets the same
-/// list every time, and the last address survives the loss of that domain.
+/// Guards against uneven distribution over the entries of the callers' failure domain, lists
+/// that change between requests, and lists without an address in another domain.
 #[googletest::test]
 fn callers_are_spread_over_their_own_domain() {
     let entries = entries();
     let spread = spread(&entries);
     expect_that!(spread.len(), eq(3));
     expect_that!(spread.values().min(), some(ge(&70)));
-    let answer = ask("caller-1", &entries);
-    expect_that!(answer.addresses, eq(&ask("caller-1", &entries).addresses));
-    expect_that!(answer.addresses.len(), eq(3));
+    let list = address_list("caller-1", &entries);
+    expect_that!(
+        list.addresses,
+        eq(&address_list("caller-1", &entries).addresses)
+    );
+    expect_that!(list.addresses.len(), eq(3));
     let last = entries
         .iter()
-        .find(|e| e.address == answer.addresses[2])
+        .find(|e| e.address == list.addresses[2])
         .expect("known");
     expect_that!(last.failure_domain.as_str(), not(eq("a")));
 }
 
-/// An entry leaves. Only its own callers move, before it stops; were others to move as
-/// well, all their connections would be made anew at once.
+/// Guards against a leaving entry moving the callers of other entries, which would all
+/// reconnect at the same time.
 #[googletest::test]
 fn only_the_callers_of_a_leaving_entry_move() {
     let before = entries();
@@ -69,47 +72,49 @@
             expect_that!(new, eq(&old));
         }
     }
-    expect_that!(ask("x", &after).ttl, lt(ask("x", &before).ttl));
+    expect_that!(
+        address_list("x", &after).ttl,
+        lt(address_list("x", &before).ttl)
+    );
 }
 
-/// A full entry refuses a caller and names others; named itself, the caller would be sent
-/// back to it at once.
+/// Guards against a full entry returning its own address to a caller it refused.
 #[googletest::test]
-fn a_full_entry_names_others() {
+fn full_entry_returns_other_addresses() {
     let mut entries = entries();
     entries[3].load = LoadLevel::Full;
     let mut rng = fastrand::Rng::with_seed(1);
     for i in 0..100 {
         let caller = format!("caller-{i}");
-        let answer = choose_addresses(&caller, "a", &entries, Some("entry-3"), &mut rng);
-        expect_that!(answer.addresses, not(contains(eq("10.0.0.3:80"))));
+        let list = choose_addresses(&caller, "a", &entries, Some("entry-3"), &mut rng);
+        expect_that!(list.addresses, not(contains(eq("10.0.0.3:80"))));
     }
     expect_that!(spread(&entries).contains_key("10.0.0.3:80"), eq(false));
-    // With everything leaving, one address is better than none.
+    // If all entries are leaving, one is returned nevertheless.
     entries.iter_mut().for_each(|e| e.leaving = true);
-    expect_that!(ask("x", &entries).addresses.len(), eq(1));
+    expect_that!(address_list("x", &entries).addresses.len(), eq(1));
 }
 
-/// An entry's load moves around a threshold. Its band must not flap, or every caller's
-/// list would change with each report; and answers given at once end apart.
+/// Guards against a load level that flaps around a threshold, which would change callers'
+/// lists with each report, and against lists that all expire at the same time.
 #[googletest::test]
-fn bands_do_not_flap_and_answers_end_apart() {
-    let mut band = LoadLevel::Low;
-    let bands = [0.84, 0.86, 0.8, 0.86, 0.8, 1.0, 0.95, 0.8, 0.6].map(|load| {
-        band = band.next(load);
-        band
+fn load_level_has_hysteresis_and_ttl_has_jitter() {
+    let mut level = LoadLevel::Low;
+    let levels = [0.84, 0.86, 0.8, 0.86, 0.8, 1.0, 0.95, 0.8, 0.6].map(|load| {
+        level = level.next(load);
+        level
     });
     use LoadLevel::{Full, High, Low};
     expect_that!(
-        bands,
+        levels,
         eq([Low, High, High, High, High, Full, Full, High, Low])
     );
     let (entries, mut rng) = (entries(), fastrand::Rng::with_seed(1));
-    let mut ends: Vec<_> = (0..200)
+    let mut ttls: Vec<_> = (0..200)
         .map(|_| choose_addresses("x", "a", &entries, None, &mut rng).ttl)
         .collect();
-    ends.sort();
-    let gap = ends.windows(2).map(|w| w[1] - w[0]).max();
-    expect_that!(ends[199] - ends[0], ge(std::time::Duration::from_secs(25)));
+    ttls.sort();
+    let gap = ttls.windows(2).map(|w| w[1] - w[0]).max();
+    expect_that!(ttls[199] - ttls[0], ge(std::time::Duration::from_secs(25)));
     expect_that!(gap, some(le(std::time::Duration::from_secs(2))));
 }
--- a/crates/route/tests/pick.rs
+++ b/crates/route/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Choice of group: whole and staying groups, load against affinity, slow and new ones.
+//! Tests of the group picker: leaving groups, load and prefix affinity, outliers, slow start.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -23,7 +23,7 @@
     }
 }
 
-/// A picker whose groups have been there long enough to get all of their slots.
+/// Returns a picker and a time at which its groups get all of their slots.
 fn picker(distances: &[u8]) -> (GroupPicker, Instant) {
     let start = Instant::now();
     let mut picker = GroupPicker::new(7);
@@ -49,10 +49,10 @@
     counts
 }
 
-/// A host of a group is taken away, and another group has been formed anew. Work sent to
-/// the leaving one would be cut off; the pick of the old epoch must not free a new slot.
+/// Guards against sending requests to a leaving group, where they would be cut off, and
+/// against a pick of an old epoch releasing a slot of the new one.
 #[googletest::test]
-fn leaving_groups_and_ended_epochs_get_nothing_new() {
+fn leaving_groups_and_old_epochs_get_no_requests() {
     let (mut picker, now) = picker(&[0, 0]);
     let old = picker
         .pick(SlotKind::Normal, &[], &["draft/0".into()], now)
@@ -77,10 +77,10 @@
     expect_that!(picker.free_slots(now), eq(Slots::NONE));
 }
 
-/// Load reports are a second old. Without adding what was sent since, the whole burst
-/// goes to the group that was emptiest a second ago.
+/// Guards against a whole burst going to the group that had the lowest load in the last
+/// report: load reports are a second old, so requests sent since must be added.
 #[googletest::test]
-fn a_burst_between_reports_is_spread() {
+fn burst_between_load_reports_is_spread() {
     let (mut picker, now) = picker(&[0, 0, 0, 0]);
     for (i, running) in [0, 4, 4, 4].into_iter().enumerate() {
         picker.on_load_report(&format!("draft/{i}"), 1, running, now - SECOND);
@@ -90,10 +90,10 @@
     expect_that!(counts.values().min(), some(ge(&6)));
 }
 
-/// The own failure domain's group is nearly full. Requests spill to the next domain
-/// instead of queueing at home, and come back when there is room.
+/// Guards against requests queueing for a group in the entry's failure domain while a more
+/// distant one has free slots, and against not returning to the nearer group afterwards.
 #[googletest::test]
-fn the_nearest_domain_comes_first_and_spills() {
+fn nearest_domain_is_preferred_until_it_is_full() {
     let (mut picker, now) = picker(&[0, 1]);
     expect_that!(pick(&mut picker, &[], now), some(eq("draft/0")));
     picker.on_load_report("draft/0", 1, 18, now);
@@ -102,24 +102,24 @@
     expect_that!(pick(&mut picker, &[], now), some(eq("draft/0")));
 }
 
-/// Council digests share a long beginning that one group has in its cache. They go
-/// there, until it is so much fuller that the cache isn't worth the wait.
+/// Guards against ignoring the prefix cache, and against preferring it at any load: requests
+/// with a shared prefix go to the group that has it cached until its load outweighs that.
 #[googletest::test]
-fn a_cached_prefix_attracts_until_load_outweighs_it() {
+fn cached_prefix_is_preferred_until_load_outweighs_it() {
     let (mut picker, now) = picker(&[0, 0, 0]);
     let prefixes = prefix_hashes(&"council digest ".repeat(100));
-    let home = pick(&mut picker, &prefixes, now).expect("a group");
+    let cached_at = pick(&mut picker, &prefixes, now).expect("a group");
     for _ in 0..5 {
-        expect_that!(pick(&mut picker, &prefixes, now), some(eq(&home)));
+        expect_that!(pick(&mut picker, &prefixes, now), some(eq(&cached_at)));
     }
-    picker.on_load_report(&home, 1, 18, now);
-    expect_that!(pick(&mut picker, &prefixes, now), some(not(eq(&home))));
+    picker.on_load_report(&cached_at, 1, 18, now);
+    expect_that!(pick(&mut picker, &prefixes, now), some(not(eq(&cached_at))));
 }
 
-/// Cache events come late and with gaps. An eviction from before our last request must
-/// not undo it; after a gap the record is believed only half.
+/// Guards against late cache events, where an eviction from before the last request must not
+/// remove the prefix, and against lost ones: after a gap, matches get half the weight.
 #[googletest::test]
-fn late_and_missing_cache_events_correct_the_record() {
+fn late_and_lost_cache_events_correct_the_index() {
     let (mut picker, now) = picker(&[0, 0]);
     let prefixes = prefix_hashes(&"claim summary ".repeat(30));
     let hash = *prefixes.last().expect("long enough");
@@ -130,12 +130,12 @@
     picker.on_cache_events("draft/0", 1, 0, &events, now - SECOND);
     picker.on_load_report("draft/0", 1, 5, now);
     expect_that!(pick(&mut picker, &prefixes, now), some(eq("draft/0")));
-    // After the gap a match is worth half: not enough against this load any more.
+    // After the gap the match has half the weight, which this load outweighs.
     let later = now + 10 * SECOND;
     picker.on_cache_events("draft/0", 1, 9, &[], later);
     picker.on_load_report("draft/0", 1, 8, later);
     expect_that!(pick(&mut picker, &prefixes, later), some(eq("draft/1")));
-    // Confirmed, it counts in full again.
+    // Once confirmed, it has its full weight again.
     picker.on_cache_events("draft/0", 1, 9, &[CacheEvent::Stored(hash)], later + SECOND);
     picker.on_cache_events("draft/1", 1, 0, &events, later + SECOND);
     expect_that!(
@@ -144,18 +144,18 @@
     );
 }
 
-/// A group's fabric link has gone bad: it lives and answers, at a quarter of the pace.
-/// It gets less, but still enough to be seen recovering.
+/// Guards against a degraded group (here with four times the inter-token latency) getting a
+/// full share. It gets fewer requests, but enough for its recovery to be measured.
 #[googletest::test]
-fn a_slow_group_is_noticed_and_gets_less() {
+fn outlier_gets_fewer_requests_until_it_recovers() {
     let (mut picker, mut now) = picker(&[0, 0, 0, 0]);
-    let measure = |picker: &mut GroupPicker, gaps: [u32; 4], now| {
-        for (i, gap) in gaps.into_iter().enumerate() {
+    let measure = |picker: &mut GroupPicker, latencies: [u32; 4], now| {
+        for (i, latency) in latencies.into_iter().enumerate() {
             for _ in 0..50 {
                 picker.observe(
                     &format!("draft/{i}"),
                     1,
-                    LatencySample::InterTokenLatency(gap * MILLI),
+                    LatencySample::InterTokenLatency(latency * MILLI),
                     now,
                 );
             }
@@ -172,10 +172,10 @@
     expect_that!(recovered["draft/3"], ge(8));
 }
 
-/// A group has just been formed: its caches are cold, and nobody has seen it serve yet.
-/// It gets a few requests at first and its full part after some seconds.
+/// Guards against a new group, with cold caches and no measurements, getting its full share
+/// at once.
 #[googletest::test]
-fn a_new_group_starts_gradually() {
+fn new_group_goes_through_slow_start() {
     let (mut picker, now) = picker(&[0]);
     picker.set_candidates([candidate(0, 0), candidate(1, 0)], now);
     let first = counts(&mut picker, 19, now);
@@ -183,11 +183,11 @@
     expect_that!(picker.free_slots(now + 30 * SECOND).normal, eq(36 - 19));
 }
 
-/// Evidence of all groups is late for three seconds while a watcher is replaced. Forgotten
-/// meanwhile, what still runs there would be sent a second time over, and every
-/// group would start with a tenth of its slots. One that was gone for long does start anew.
+/// Guards against a short gap in the evidence (three seconds while a watcher is replaced)
+/// losing the requests in flight, so that groups would get twice their quota, and
+/// restarting slow start. A group that was absent for long does go through slow start.
 #[googletest::test]
-fn a_short_gap_in_the_evidence_is_no_new_start() {
+fn short_absence_keeps_the_state_of_a_group() {
     let (mut picker, now) = picker(&[0]);
     let picks: Vec<Pick> = (0..10)
         .filter_map(|_| picker.pick(SlotKind::Normal, &[], &[], now))
@@ -211,9 +211,9 @@
     expect_that!(picker.free_slots(late + 30 * SECOND).normal, eq(18 - 9));
 }
 
-/// Runs drafts of 200 tokens on one group as fast as the picker lets them in, on an
-/// engine that takes `gap` between tokens; gives how many ran in the last five minutes.
-fn concurrency(gap: impl Fn(f64) -> f64) -> Vec<u32> {
+/// Runs requests of 200 tokens on one group as fast as the picker admits them, with an
+/// inter-token latency of `latency`; returns the concurrency over the last five minutes.
+fn concurrency(latency: impl Fn(f64) -> f64) -> Vec<u32> {
     let (mut picker, mut now) = picker(&[0]);
     let mut rng = fastrand::Rng::with_seed(3);
     let mut running: Vec<(Pick, f64)> = Vec::new();
@@ -224,7 +224,7 @@
         }
         let load = running.len() as f64;
         for (_, left) in &mut running {
-            let sample = gap(load) * (0.9 + 0.2 * rng.f64());
+            let sample = latency(load) * (0.9 + 0.2 * rng.f64());
             let sample_token = LatencySample::InterTokenLatency(Duration::from_secs_f64(sample));
             picker.observe("draft/0", 1, sample_token, now);
             *left -= 0.2 / sample;
@@ -246,10 +246,10 @@
     f64::from(levels.iter().sum::<u32>()) / levels.len() as f64
 }
 
-/// An entry has been restarted and learns of groups that have served for weeks. To start
-/// gradually with each of them would refuse its callers for a reason of its own.
+/// Guards against slow start for all groups after a restart of the entry, which would refuse
+/// callers though the groups have been serving all along.
 #[googletest::test]
-fn a_new_entry_trusts_the_groups_it_finds() {
+fn groups_found_at_startup_skip_slow_start() {
     let now = Instant::now();
     let mut picker = GroupPicker::new(1);
     picker.set_candidates([], now);
@@ -259,20 +259,21 @@
     expect_that!(picker.free_slots(now + 60 * SECOND).normal, eq(18 + 1));
 }
 
-/// An engine whose tokens slow down as more requests run on it: 20 ms and 5 ms for
-/// each. At 18 requests every token comes too late; the limit settles where 95 in 100
-/// are in time, 10 requests with the noise, though drafts take many seconds to end.
+/// Guards against overloading an engine whose inter-token latency grows with the load: 20 ms
+/// plus 5 ms per request. At 18 requests every token misses the objective; the limit
+/// converges where 95% meet it, at 10 requests with the noise, although requests run for many
+/// seconds.
 #[googletest::test]
-fn concurrency_follows_the_measured_pace() {
+fn concurrency_follows_the_measured_latency() {
     let levels = concurrency(|load| 0.02 + 0.005 * load);
     expect_that!(mean(&levels), near(10.0, 1.5));
     expect_that!(levels.iter().min(), some(ge(&7)));
 }
 
-/// A model that takes 90 ms for a token however few requests run. Giving the group less
-/// makes nothing faster; given one request at a time, it would serve next to nobody.
+/// Guards against limiting a model to a single request when that doesn't help: it takes 90 ms
+/// per token at any load.
 #[googletest::test]
-fn a_limit_that_does_not_help_is_given_up() {
+fn ineffective_limit_is_lifted() {
     let levels = concurrency(|_| 0.09);
     expect_that!(mean(&levels), ge(15.0));
 }
--- a/crates/route/tests/retry.rs
+++ b/crates/route/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries and their budget.
+//! Tests of retries and the retry budget.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use eelgrassmill_route::*;
 use googletest::prelude::*;
 
-/// Every group fails at once. Retries without a bound would triple the load just then;
-/// the budget holds them to a tenth of the requests, after what was saved up.
+/// Guards against retry storms when all groups fail: without a budget the load would triple.
+/// Retries are limited to a tenth of the requests plus the initial balance.
 #[googletest::test]
 fn retries_stay_a_tenth_of_the_requests() {
     let mut budget = RetryBudget::default();
@@ -26,35 +26,35 @@
     );
 }
 
-/// A refund check gets no answer. Whether it ran is unknown, so it isn't sent again,
-/// while a draft is; and nothing is tried for ever.
+/// Guards against retrying a request that must not run twice and may have run, and against
+/// retrying without a limit.
 #[googletest::test]
-fn only_what_may_run_again_is_retried() {
+fn only_repeatable_or_unrun_requests_are_retried() {
     let mut budget = RetryBudget::default();
     let tenant = "lindach".into();
     budget.deposit(&tenant);
-    let mut ask = |outcome, repeatable, attempt| {
+    let mut retry = |outcome, repeatable, attempt| {
         may_retry(outcome, repeatable, attempt, &tenant, &mut budget)
     };
     expect_that!(
-        ask(Outcome::Unknown, false, 1),
+        retry(Outcome::Unknown, false, 1),
         err(eq(RetryDenied::NotRepeatable))
     );
-    expect_that!(ask(Outcome::Unknown, true, 1), ok(anything()));
-    expect_that!(ask(Outcome::NotRun, false, 1), ok(anything()));
+    expect_that!(retry(Outcome::Unknown, true, 1), ok(anything()));
+    expect_that!(retry(Outcome::NotRun, false, 1), ok(anything()));
     expect_that!(
-        ask(Outcome::NotRun, true, MAX_ATTEMPTS),
+        retry(Outcome::NotRun, true, MAX_ATTEMPTS),
         err(eq(RetryDenied::AttemptsExhausted))
     );
     expect_that!(
-        ask(Outcome::Answered, true, 1),
+        retry(Outcome::Answered, true, 1),
         err(eq(RetryDenied::Answered))
     );
 }
 
-/// Many requests fail in one instant; their retries must not arrive in one instant.
+/// Guards against requests that fail at the same time being retried at the same time.
 #[googletest::test]
-fn backoff_is_spread_and_bounded() {
+fn backoff_is_jittered_and_bounded() {
     let mut rng = fastrand::Rng::with_seed(1);
     let waits: Vec<Duration> = (0..100).map(|_| backoff(2, &mut rng)).collect();
     expect_that!(waits.iter().max(), some(le(&Duration::from_millis(100))));
