--- a/crates/route/examples/cost.rs
+++ b/crates/route/examples/cost.rs
@@ -1,4 +1,4 @@
-//! Cost of our part per request: queue and choice of group, time as a ratio and allocations.
+//! Measures the cost per request of the queue and the picker: relative time and allocations.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::collections::VecDeque;
@@ -16,17 +16,17 @@
 
 static ALLOCATIONS: AtomicU64 = AtomicU64::new(0);
 
-// Counting needs an allocator of our own, and the trait for one is unsafe.
+// Counting allocations needs a custom global allocator, and its trait is unsafe.
 #[allow(unsafe_code)]
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         ALLOCATIONS.fetch_add(1, Ordering::Relaxed);
-        // SAFETY: the caller keeps the contract, which is the system allocator's.
+        // SAFETY: the caller upholds the contract of `GlobalAlloc::alloc`, which is passed on.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        // SAFETY: `ptr` came from `System` with this layout.
+        // SAFETY: `ptr` was allocated by `System` with this layout.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
@@ -57,7 +57,7 @@
     })
 }
 
-fn offer(tenant: usize, now: Instant) -> AdmissionRequest {
+fn request(tenant: usize, now: Instant) -> AdmissionRequest {
     AdmissionRequest {
         tenant: format!("tenant-{tenant}").into(),
         weight: 1,
@@ -87,23 +87,23 @@
             picker,
             running: VecDeque::new(),
             prompts: (0..tenants).map(prompt).collect(),
-            // Past the gradual start.
+            // After slow start.
             now: now + Duration::from_secs(60),
         }
     }
 
     fn begin(&mut self, tenant: usize) {
         let now = self.now;
-        if self.queue.admit(offer(tenant, now), tenant, now).is_err() {
+        if self.queue.admit(request(tenant, now), tenant, now).is_err() {
             return;
         }
-        let Some(started) = self.queue.dequeue(self.picker.free_slots(now), now) else {
+        let Some(dequeued) = self.queue.dequeue(self.picker.free_slots(now), now) else {
             return;
         };
-        let prefixes = prefix_hashes(&self.prompts[started.payload]);
-        match self.picker.pick(started.slot, &prefixes, &[], now) {
-            Some(pick) => self.running.push_back((started.ticket, pick)),
-            None => drop(self.queue.cancel(started.ticket)),
+        let prefixes = prefix_hashes(&self.prompts[dequeued.payload]);
+        match self.picker.pick(dequeued.slot, &prefixes, &[], now) {
+            Some(pick) => self.running.push_back((dequeued.ticket, pick)),
+            None => drop(self.queue.cancel(dequeued.ticket)),
         }
     }
 
@@ -113,8 +113,8 @@
         };
         self.now += Duration::from_millis(1);
         let first = LatencySample::TimeToFirstToken(Duration::from_millis(300));
-        let gap = LatencySample::InterTokenLatency(Duration::from_millis(20));
-        for sample in [first, gap] {
+        let latency = LatencySample::InterTokenLatency(Duration::from_millis(20));
+        for sample in [first, latency] {
             self.picker
                 .observe(&pick.group, pick.epoch, sample, self.now);
         }
@@ -142,7 +142,7 @@
     }
 }
 
-/// The fastest of a few rounds: the others were disturbed.
+/// Returns the fastest of several rounds, the one least disturbed by other processes.
 fn best(tenants: usize, groups: usize, in_flight: usize) -> Cost {
     let rounds = (0..ROUNDS).map(|_| measure(tenants, groups, in_flight));
     let least = rounds.min_by(|a, b| a.nanos.total_cmp(&b.nanos));
@@ -158,7 +158,7 @@
         "base (10 tenants, 10 groups, 1 in flight): {:.1} us",
         base.nanos / 1000.0
     );
-    println!("tenants | groups | in flight | time over base | allocations a request");
+    println!("tenants | groups | in flight | time over base | allocations per request");
     for tenants in [10, 100] {
         for groups in [10, 110] {
             for in_flight in [1, 8, 64] {
--- a/crates/route/examples/entries.rs
+++ b/crates/route/examples/entries.rs
@@ -1,9 +1,9 @@
-//! Eight entries that share the slots of eight groups, in virtual time.
+//! Simulates eight entries that share the slots of eight groups, in virtual time.
 //!
-//! First, one entry gets five times the callers of each other. Shares of slots are fixed and
-//! equal, or follow demand by quotas; beside them stands one queue for all entries, which
-//! is what one home node for all work would have at best. Then, one tenant
-//! sends ten times its share to all entries, and each other tenant to one entry only.
+//! First, one entry gets five times the callers of each other. The slots are shared equally
+//! or by demand with quotas, compared with a single queue for all entries as the optimum.
+//! Then, one tenant sends ten times its share to all entries, and each other tenant
+//! sends to one entry only.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -22,24 +22,24 @@
     urgent: 0,
 };
 const TICK: Duration = Duration::from_millis(50);
-/// An entry asks each issuer this often, in ticks.
-const ASK_EVERY: u64 = 5;
-/// Entries tell each other what tenants used this often, in ticks.
-const TELL_EVERY: u64 = 20;
+/// Ticks between an entry's demands to each issuer.
+const DEMAND_INTERVAL: u64 = 5;
+/// Ticks between the usage reports of an entry to the others.
+const USAGE_INTERVAL: u64 = 20;
 const TICKS: u64 = 12_000;
 const WARM_UP: u64 = 2_000;
 const PER_TOKEN: Duration = Duration::from_millis(25);
-const PATIENCE: Duration = Duration::from_secs(60);
-/// Callers of the first entry for each of another's.
+const TIMEOUT: Duration = Duration::from_secs(60);
+/// Load of the first entry relative to each other entry's.
 const SKEW: f64 = 5.0;
 
-/// Who sends what.
+/// The load on the entries.
 #[derive(Clone, Copy)]
 enum Load {
-    /// Ten tenants, this much of the capacity together, most of it to the first entry.
+    /// Ten tenants with this fraction of the capacity together, most of it to the first entry.
     Skewed(f64),
-    /// Tenant 0 at this many times its share to all entries; each other at 0.8 times
-    /// its share to an entry of its own.
+    /// Tenant 0 with this multiple of its share to all entries; each other with 0.8 times
+    /// its share to its own entry.
     Greedy(f64),
 }
 
@@ -73,16 +73,16 @@
 
 struct Fleet {
     sharing: Sharing,
-    /// Whether entries tell each other what tenants used.
-    tells_usage: bool,
+    /// Whether entries report the usage of tenants to each other.
+    reports_usage: bool,
     entries: Vec<Entry>,
     issuers: BTreeMap<GroupId, QuotaIssuer>,
     ends: BTreeMap<u64, Vec<Running>>,
-    zero: Instant,
+    start_time: Instant,
     latencies: BTreeMap<usize, Vec<u64>>,
     tokens: BTreeMap<usize, u64>,
     refused: u64,
-    most_over: u32,
+    max_excess: u32,
 }
 
 fn group(i: usize) -> GroupId {
@@ -118,33 +118,33 @@
 }
 
 impl Fleet {
-    fn new(sharing: Sharing, tells_usage: bool) -> Fleet {
-        let zero = Instant::now();
+    fn new(sharing: Sharing, reports_usage: bool) -> Fleet {
+        let start_time = Instant::now();
         let (entries, slots) = match sharing {
             Sharing::OneQueue => (1, SLOTS),
             Sharing::Equal | Sharing::Quotas => (ENTRIES, fallback_share(SLOTS, ENTRIES as u32)),
         };
         let issuer = |g| {
             let entries = (0..ENTRIES).map(node);
-            let issuer = QuotaIssuer::new("issuer".into(), group(g), 1, SLOTS, entries, zero);
+            let issuer = QuotaIssuer::new("issuer".into(), group(g), 1, SLOTS, entries, start_time);
             (group(g), issuer)
         };
         Fleet {
             sharing,
-            tells_usage,
-            entries: (0..entries).map(|i| entry(i, slots, zero)).collect(),
+            reports_usage,
+            entries: (0..entries).map(|i| entry(i, slots, start_time)).collect(),
             issuers: (0..GROUPS).map(issuer).collect(),
             ends: BTreeMap::new(),
-            zero,
+            start_time,
             latencies: BTreeMap::new(),
             tokens: BTreeMap::new(),
             refused: 0,
-            most_over: 0,
+            max_excess: 0,
         }
     }
 
     fn now(&self, tick: u64) -> Instant {
-        self.zero + TICK * tick as u32
+        self.start_time + TICK * tick as u32
     }
 
     fn run(mut self, load: Load) -> Fleet {
@@ -155,7 +155,7 @@
                 for (tenant, mean) in arrivals(load, entry) {
                     if rng.f64() < mean {
                         let tokens = rng.u64(200..600);
-                        self.offer(
+                        self.admit(
                             entry,
                             Request {
                                 at: tick,
@@ -167,20 +167,20 @@
                 }
             }
             if self.sharing == Sharing::Quotas {
-                self.share(tick);
+                self.exchange_quotas(tick);
             }
-            if self.tells_usage && tick.is_multiple_of(TELL_EVERY) {
-                self.tell_usage();
+            if self.reports_usage && tick.is_multiple_of(USAGE_INTERVAL) {
+                self.report_usage();
             }
             for entry in 0..self.entries.len() {
                 self.start(entry, tick);
             }
-            self.note_over();
+            self.record_excess();
         }
         self
     }
 
-    fn tell_usage(&mut self) {
+    fn report_usage(&mut self) {
         let used: Vec<Vec<TenantUsage>> = self
             .entries
             .iter_mut()
@@ -194,18 +194,22 @@
         }
     }
 
-    fn offer(&mut self, entry: usize, req: Request) {
+    fn admit(&mut self, entry: usize, req: Request) {
         let now = self.now(req.at);
-        let offer = AdmissionRequest {
+        let admission = AdmissionRequest {
             tenant: format!("tenant-{}", req.tenant).into(),
             weight: 1,
             urgency: Urgency::DEFAULT,
             tokens: req.tokens,
-            deadline: now + PATIENCE,
+            deadline: now + TIMEOUT,
             max_tenant_queue: 1000,
         };
         let entry = entry.min(self.entries.len() - 1);
-        if self.entries[entry].queue.admit(offer, req, now).is_err() {
+        if self.entries[entry]
+            .queue
+            .admit(admission, req, now)
+            .is_err()
+        {
             self.refuse(req);
         }
     }
@@ -217,14 +221,14 @@
     fn start(&mut self, i: usize, tick: u64) {
         let now = self.now(tick);
         let entry = &mut self.entries[i];
-        while let Some(started) = entry.queue.dequeue(entry.picker.free_slots(now), now) {
-            let Some(pick) = entry.picker.pick(started.slot, &[], &[], now) else {
+        while let Some(dequeued) = entry.queue.dequeue(entry.picker.free_slots(now), now) {
+            let Some(pick) = entry.picker.pick(dequeued.slot, &[], &[], now) else {
                 return;
             };
             *entry.in_flight.entry(pick.group.clone()).or_default() += 1;
-            let req = started.payload;
+            let req = dequeued.payload;
             let took = (PER_TOKEN * req.tokens as u32).as_millis() / TICK.as_millis();
-            let ticket = started.ticket;
+            let ticket = dequeued.ticket;
             let run = Running {
                 entry: i,
                 req,
@@ -233,8 +237,8 @@
             };
             self.ends.entry(tick + took as u64).or_default().push(run);
         }
-        let expired = entry.queue.take_refused(now);
-        expired.into_iter().for_each(|(req, _)| self.refuse(req));
+        let refused = entry.queue.take_refused(now);
+        refused.into_iter().for_each(|(req, _)| self.refuse(req));
     }
 
     fn end(&mut self, tick: u64) {
@@ -254,13 +258,14 @@
         }
     }
 
-    /// Each entry in its turn asks all issuers; what waits is spread over the groups.
-    fn share(&mut self, tick: u64) {
+    /// Entries take turns sending demands to all issuers; waiting requests are spread over the
+    /// groups.
+    fn exchange_quotas(&mut self, tick: u64) {
         let now = self.now(tick);
         for (i, entry) in self.entries.iter_mut().enumerate() {
-            let asks = (tick + i as u64).is_multiple_of(ASK_EVERY);
+            let sends_demand = (tick + i as u64).is_multiple_of(DEMAND_INTERVAL);
             for (group, holder) in &mut entry.holders {
-                if asks {
+                if sends_demand {
                     let running = entry.in_flight.get(group).copied().unwrap_or_default();
                     let waiting = (entry.queue.len() as u32).div_ceil(GROUPS as u32);
                     let of = |normal| Slots { normal, urgent: 0 };
@@ -275,15 +280,15 @@
         }
     }
 
-    /// Requests above a group's slots, at the worst moment.
-    fn note_over(&mut self) {
+    /// Records the largest excess of requests over a group's slots.
+    fn record_excess(&mut self) {
         for g in 0..GROUPS {
             let in_flight = self
                 .entries
                 .iter()
                 .filter_map(|e| e.in_flight.get(&group(g)));
-            let over = in_flight.sum::<u32>().saturating_sub(SLOTS.normal);
-            self.most_over = self.most_over.max(over);
+            let excess = in_flight.sum::<u32>().saturating_sub(SLOTS.normal);
+            self.max_excess = self.max_excess.max(excess);
         }
     }
 
@@ -310,15 +315,15 @@
     }
 }
 
-/// Requests a tick of each tenant at the entry.
+/// Returns the requests per tick of each tenant at the entry.
 fn arrivals(load: Load, entry: usize) -> Vec<(usize, f64)> {
     // Requests have 400 tokens on average.
     let capacity = f64::from(SLOTS.normal) * GROUPS as f64 / (PER_TOKEN * 400).as_secs_f64();
     let full = capacity * TICK.as_secs_f64();
     match load {
-        Load::Skewed(part) => {
+        Load::Skewed(fraction) => {
             let weight = if entry == 0 { SKEW } else { 1.0 };
-            let mean = part * full * weight / (SKEW + ENTRIES as f64 - 1.0);
+            let mean = fraction * full * weight / (SKEW + ENTRIES as f64 - 1.0);
             (0..TENANTS).map(|t| (t, mean / TENANTS as f64)).collect()
         }
         Load::Greedy(times) => {
@@ -333,10 +338,10 @@
 
 fn skewed() {
     println!(
-        "load | slots shared | p95 over one queue | tokens over one queue | refused | most above a group's slots"
+        "load | slots shared | p95 over one queue | tokens over one queue | refused | max excess over a group's slots"
     );
-    for part in [0.5, 0.8, 1.2] {
-        let run = |sharing| Fleet::new(sharing, false).run(Load::Skewed(part));
+    for fraction in [0.5, 0.8, 1.2] {
+        let run = |sharing| Fleet::new(sharing, false).run(Load::Skewed(fraction));
         let ideal = run(Sharing::OneQueue);
         for (name, fleet) in [
             ("equally", run(Sharing::Equal)),
@@ -344,11 +349,11 @@
             ("one queue", run(Sharing::OneQueue)),
         ] {
             println!(
-                "{part:4} | {name:12} | {:18.2} | {:21.2} | {:7.2} | {}",
+                "{fraction:4} | {name:12} | {:18.2} | {:21.2} | {:7.2} | {}",
                 fleet.p95(|_| true) / ideal.p95(|_| true),
                 fleet.tokens(|_| true) / ideal.tokens(|_| true),
                 fleet.refused(),
-                fleet.most_over,
+                fleet.max_excess,
             );
         }
     }
@@ -356,14 +361,14 @@
 
 fn greedy() {
     println!(
-        "usage told | others' p95 with the greedy tenant over without | others' tokens, the same"
+        "usage reported | others' p95 with the greedy tenant over without | others' tokens, same ratio"
     );
-    for told in [false, true] {
-        let run = |times| Fleet::new(Sharing::Quotas, told).run(Load::Greedy(times));
+    for reported in [false, true] {
+        let run = |times| Fleet::new(Sharing::Quotas, reported).run(Load::Greedy(times));
         let (without, with) = (run(0.0), run(10.0));
         let others = |tenant| tenant != 0;
         println!(
-            "{told:10} | {:48.2} | {:.2}",
+            "{reported:14} | {:48.2} | {:.2}",
             with.p95(others) / without.p95(others),
             with.tokens(others) / without.tokens(others),
         );
--- a/crates/route/examples/fairness.rs
+++ b/crates/route/examples/fairness.rs
@@ -1,8 +1,9 @@
-//! The service queue against one first-come first-served queue, in virtual time.
+//! Simulates the service queue against a first-come first-served queue, in virtual time.
 //!
-//! One service with a fixed number of slots; a request takes a slot for a fixed time
-//! and then a fixed time per token. Both queues get the same arrivals. Latency
-//! is from arrival to the last token, useful tokens are those finished in time.
+//! One service with a fixed number of slots; a request occupies a slot for a fixed
+//! time plus a fixed time per token. Both queues get the same arrivals. Latency is
+//! measured from arrival to the last token; useful tokens are those of requests that
+//! finish before their deadline.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -11,7 +12,7 @@
 use eelgrassmill_base::Urgency;
 use eelgrassmill_route::{AdmissionRequest, QueueOptions, ServiceQueue, SlotKind, Slots, Ticket};
 
-/// One entry's part of a small service, and a whole larger one.
+/// One entry's share of a small service, and a whole larger service.
 const SIZES: [Slots; 2] = [
     Slots {
         normal: 14,
@@ -27,7 +28,7 @@
 const PER_TOKEN: Duration = Duration::from_millis(50);
 const DRAFT_TOKENS: u64 = 400;
 const URGENT_TOKENS: u64 = 32;
-/// Callers ask for this many times the tokens that they use.
+/// Callers request this many times the tokens that they use.
 const OVERESTIMATE: u64 = 2;
 const RUN: Duration = Duration::from_secs(1800);
 const WARM_UP: Duration = Duration::from_secs(300);
@@ -38,13 +39,13 @@
     tenant: u64,
     urgent: bool,
     tokens: u64,
-    /// Tokens generated before it was cancelled and resumed.
+    /// Tokens generated before it was preempted.
     done: u64,
     deadline: Duration,
 }
 
 impl Request {
-    fn took(&self) -> Duration {
+    fn run_time(&self) -> Duration {
         FIRST_TOKEN + PER_TOKEN * (self.tokens - self.done) as u32
     }
 }
@@ -58,16 +59,16 @@
         now: Duration,
     ) -> Option<(Request, SlotKind, Option<Ticket>)>;
     fn end(&mut self, req: &Request, ticket: Option<Ticket>, now: Duration);
-    /// A running request to cancel and resume.
+    /// Returns a running request to preempt.
     fn preemption_victim(&self, free: Slots) -> Option<Ticket>;
     fn requeue(&mut self, req: Request, ticket: Ticket, used: u64);
 }
 
 struct Fair {
     queue: ServiceQueue<Request>,
-    zero: Instant,
+    start_time: Instant,
     /// Whether the engines can cancel and resume.
-    preempts: bool,
+    preemption: bool,
 }
 
 impl Queue for Fair {
@@ -81,11 +82,11 @@
                 Urgency::DEFAULT
             },
             tokens: req.tokens * OVERESTIMATE,
-            deadline: self.zero + req.deadline,
+            deadline: self.start_time + req.deadline,
             max_tenant_queue: 200,
         };
-        // A refusal counts as nothing done, as a late answer does.
-        let _ = self.queue.admit(offer, req, self.zero + req.at);
+        // A refused request yields no useful tokens, like a late one.
+        let _ = self.queue.admit(offer, req, self.start_time + req.at);
     }
 
     fn dequeue(
@@ -93,22 +94,22 @@
         free: Slots,
         now: Duration,
     ) -> Option<(Request, SlotKind, Option<Ticket>)> {
-        let started = self.queue.dequeue(free, self.zero + now);
-        drop(self.queue.take_refused(self.zero + now));
-        started.map(|s| (s.payload, s.slot, Some(s.ticket)))
+        let dequeued = self.queue.dequeue(free, self.start_time + now);
+        drop(self.queue.take_refused(self.start_time + now));
+        dequeued.map(|s| (s.payload, s.slot, Some(s.ticket)))
     }
 
     fn end(&mut self, req: &Request, ticket: Option<Ticket>, now: Duration) {
         if let Some(ticket) = ticket {
             self.queue
-                .complete(ticket, req.tokens - req.done, self.zero + now);
+                .complete(ticket, req.tokens - req.done, self.start_time + now);
         }
     }
 
     fn preemption_victim(&self, free: Slots) -> Option<Ticket> {
         self.queue
             .preemption_victim(free, |_| true)
-            .filter(|_| self.preempts)
+            .filter(|_| self.preemption)
     }
 
     fn requeue(&mut self, req: Request, ticket: Ticket, used: u64) {
@@ -147,12 +148,12 @@
     /// Latencies by (tenant, urgent), of requests after the warm-up.
     latencies: BTreeMap<(u64, bool), Vec<Duration>>,
     tokens: BTreeMap<u64, u64>,
-    /// Urgent calls answered in time.
+    /// Urgent requests answered before their deadline.
     urgent_in_time: usize,
 }
 
 impl Results {
-    fn note(&mut self, req: &Request, end: Duration) {
+    fn record(&mut self, req: &Request, end: Duration) {
         if req.at < WARM_UP {
             return;
         }
@@ -191,7 +192,7 @@
 struct Simulation<Q> {
     queue: Q,
     free: Slots,
-    /// Ends of running requests; those of cancelled ones stay and mean nothing.
+    /// Ends of running requests; those of preempted requests stay and are ignored.
     ends: BinaryHeap<Reverse<(Duration, u64)>>,
     running: BTreeMap<u64, Running>,
     started: u64,
@@ -227,7 +228,7 @@
         };
         *counter(&mut self.free, run.slot) += 1;
         self.queue.end(&run.req, run.ticket, now);
-        self.results.note(&run.req, now);
+        self.results.record(&run.req, now);
     }
 
     fn fill(&mut self, now: Duration) {
@@ -238,14 +239,15 @@
             let Some(victim) = self.queue.preemption_victim(self.free) else {
                 return;
             };
-            self.cancel(victim, now);
+            self.preempt(victim, now);
         }
     }
 
     fn begin(&mut self, req: Request, slot: SlotKind, ticket: Option<Ticket>, now: Duration) {
         self.started += 1;
         *counter(&mut self.free, slot) -= 1;
-        self.ends.push(Reverse((now + req.took(), self.started)));
+        self.ends
+            .push(Reverse((now + req.run_time(), self.started)));
         let since = now;
         let run = Running {
             req,
@@ -256,8 +258,8 @@
         self.running.insert(self.started, run);
     }
 
-    /// Cancels a request; it goes on later from its offset, after another first token.
-    fn cancel(&mut self, victim: Ticket, now: Duration) {
+    /// Preempts a request; it is resumed later at its offset, after another first-token time.
+    fn preempt(&mut self, victim: Ticket, now: Duration) {
         let found = self.running.iter().find(|(_, r)| r.ticket == Some(victim));
         let Some(run) = found
             .map(|(id, _)| *id)
@@ -293,13 +295,13 @@
     }
 }
 
-/// Drafts a second that fill all slots.
+/// Returns the drafts per second that fill all slots.
 fn capacity(slots: Slots) -> f64 {
     let draft = FIRST_TOKEN + PER_TOKEN * DRAFT_TOKENS as u32;
     f64::from(slots.total()) / draft.as_secs_f64()
 }
 
-/// Poisson arrivals of `rate` a second.
+/// Generates Poisson arrivals of `rate` per second.
 fn arrivals(rng: &mut fastrand::Rng, tenant: u64, urgent: bool, rate: f64) -> Vec<Request> {
     let mut list = Vec::new();
     let mut at = Duration::ZERO;
@@ -323,11 +325,12 @@
     fastrand::Rng::with_seed(seed + 1)
 }
 
-/// Drafts of each tenant at `drafts` of the capacity, urgent calls at `urgent` a second.
+/// Generates drafts of each tenant at `drafts` of the capacity and `urgent` urgent requests
+/// per second.
 fn load(slots: Slots, drafts: impl Fn(u64) -> f64, urgent: f64) -> Vec<Request> {
     let mut list = Vec::new();
     for tenant in 0..TENANTS {
-        // Seeds of their own, so that each kind arrives alike whatever the other does.
+        // Separate seeds, so that the arrivals of one kind don't depend on the other's rate.
         let (mut of_drafts, mut of_urgent) = (rng(2 * tenant), rng(2 * tenant + 1));
         let rate = drafts(tenant) * capacity(slots);
         list.extend(arrivals(&mut of_drafts, tenant, false, rate));
@@ -342,11 +345,11 @@
     list
 }
 
-fn fair(slots: Slots, load: &[Request], preempts: bool) -> Results {
+fn fair(slots: Slots, load: &[Request], preemption: bool) -> Results {
     let queue = Fair {
         queue: ServiceQueue::new(QueueOptions::default()),
-        zero: Instant::now(),
-        preempts,
+        start_time: Instant::now(),
+        preemption,
     };
     simulate(queue, slots, load)
 }
@@ -361,21 +364,21 @@
     let alone = run(&|_| 0.0, 1.0);
     let full = run(&|_| 1.2 * share, 1.0);
     let p95 = |r: &Results| r.p95(|_, urgent| urgent);
-    let slower = p95(&full) / p95(&alone);
-    println!("  urgent p95 under full drafts over alone: {slower:.2}");
-    let answered = full.urgent_in_time as f64 / alone.urgent_in_time as f64;
-    println!("  urgent calls answered in time, the same: {answered:.2}");
+    let ratio = p95(&full) / p95(&alone);
+    println!("  urgent p95 with drafts at 1.2x load over without drafts: {ratio:.2}");
+    let ratio = full.urgent_in_time as f64 / alone.urgent_in_time as f64;
+    println!("  urgent requests answered in time, same ratio: {ratio:.2}");
 
     let part = 0.8 * share;
     let others = |t: u64| t != 0;
     let without = run(&|t| if t == 0 { 0.0 } else { part }, 0.2);
     let with = run(&|t| if t == 0 { 10.0 * part } else { part }, 0.2);
     let p95 = |r: &Results| r.p95(|t, urgent| others(t) && !urgent);
-    let slower = p95(&with) / p95(&without);
-    println!("  others' draft p95 with a tenant at 10x over without: {slower:.2}");
+    let ratio = p95(&with) / p95(&without);
+    println!("  others' draft p95 with a tenant at 10x over without: {ratio:.2}");
     let tokens = |r: &Results| r.tokens(others) as f64;
-    let fewer = tokens(&with) / tokens(&without);
-    println!("  others' useful tokens, the same: {fewer:.2}");
+    let ratio = tokens(&with) / tokens(&without);
+    println!("  others' useful tokens, same ratio: {ratio:.2}");
 
     let all = |r: Results| r.tokens(|_| true) as f64;
     let peak = [0.8, 0.9, 1.0, 1.1].map(|f| all(run(&|_| f * share, 0.0)));
@@ -387,7 +390,7 @@
     );
 }
 
-/// Everyone sends more than their share, and one tenant marks its drafts urgent.
+/// All tenants send more than their share, and one of them marks its drafts urgent.
 fn report_all_urgent(slots: Slots) {
     let share = 1.0 / TENANTS as f64;
     let mut load = load(slots, |_| 1.5 * share, 0.0);
@@ -396,15 +399,17 @@
     let results = fair(slots, &load, false);
     let mean = results.tokens(|t| t != 0) as f64 / (TENANTS - 1) as f64;
     let gain = results.tokens(|t| t == 0) as f64 / mean;
-    println!("  tokens of a tenant that marks all urgent over the others' mean: {gain:.2}");
+    println!(
+        "  tokens of the tenant that marks all requests urgent over the others' mean: {gain:.2}"
+    );
 }
 
 fn main() {
     for slots in SIZES {
         println!("{} slots, {} of them urgent", slots.total(), slots.urgent);
-        println!(" fair queue, engines that cancel and resume");
+        println!(" fair queue, with preemption");
         report(slots, |slots, load| fair(slots, load, true));
-        println!(" fair queue, engines that don't");
+        println!(" fair queue, without preemption");
         report(slots, |slots, load| fair(slots, load, false));
         report_all_urgent(slots);
         println!(" first come, first served");
--- a/crates/route/examples/killer.rs
+++ b/crates/route/examples/killer.rs
@@ -1,8 +1,8 @@
-//! Groups lost to one killer request: suspects tried apart against blind retries.
+//! Simulates how many groups one crashing request takes down, with and without suspect isolation.
 //!
-//! Virtual time in rounds: a group that runs the killer dies at the end of the
-//! round with everything on it, and comes back two rounds later. The caller
-//! sends the killer again after each refusal or loss, eight times.
+//! Virtual time in rounds: a group that runs the crashing request crashes at the end
+//! of the round with all its requests, and is back two rounds later. The caller
+//! sends the crashing request again after each refusal or failure, eight times.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -11,22 +11,22 @@
 use eelgrassmill_route::{SuspectStatus, SuspectTracker};
 
 const GROUPS: usize = 8;
-const KILLER: u64 = 0;
-const KILLER_SENDS: u32 = 8;
-const MAX_TRIES: u32 = 3;
+const CRASHING: u64 = 0;
+const CRASHING_SENDS: u32 = 8;
+const MAX_ATTEMPTS: u32 = 3;
 const ROUND: Duration = Duration::from_secs(6);
 const ROUNDS: usize = 200;
 
 struct Request {
     fingerprint: u64,
-    tries: u32,
+    attempts: u32,
 }
 
 #[derive(Default)]
 struct Outcome {
-    lost: u32,
-    answered: u32,
-    innocents: u32,
+    crashes: u32,
+    completed: u32,
+    others: u32,
     rounds: usize,
 }
 
@@ -48,19 +48,19 @@
             waiting: (0..in_flight)
                 .map(|fingerprint| Request {
                     fingerprint,
-                    tries: 0,
+                    attempts: 0,
                 })
                 .collect(),
             sends: 1,
             now: Instant::now(),
             out: Outcome {
-                innocents: in_flight as u32 - 1,
+                others: in_flight as u32 - 1,
                 ..Outcome::default()
             },
         }
     }
 
-    /// Places what waits: everything on the first live group at first, as affinity does.
+    /// Places the waiting requests on the first live group, as prefix affinity would.
     fn place(&mut self, round: usize) {
         for _ in 0..self.waiting.len() {
             let Some(req) = self.waiting.pop_front() else {
@@ -68,21 +68,21 @@
             };
             match self.choose(&req, round) {
                 Ok(group) => self.groups[group].3.push(req),
-                Err(true) => self.send_again(req),
+                Err(true) => self.resend(req),
                 Err(false) => self.waiting.push_back(req),
             }
         }
     }
 
-    /// The group, or whether the request is refused for good rather than waits.
+    /// Returns the group, or as the error whether the request is refused instead of waiting.
     fn choose(&mut self, req: &Request, round: usize) -> Result<usize, bool> {
         let now = self.now;
         let live = |g: &(GroupId, u64, usize, Vec<Request>)| g.2 <= round;
         let Some(suspects) = &mut self.suspects else {
             let first = self.groups.iter().position(live);
             return first
-                .filter(|_| req.tries < MAX_TRIES)
-                .ok_or(req.tries >= MAX_TRIES);
+                .filter(|_| req.attempts < MAX_ATTEMPTS)
+                .ok_or(req.attempts >= MAX_ATTEMPTS);
         };
         match suspects.status(req.fingerprint, now) {
             SuspectStatus::Quarantined { .. } => Err(true),
@@ -98,12 +98,12 @@
         }
     }
 
-    fn send_again(&mut self, req: Request) {
-        if req.fingerprint == KILLER && self.sends < KILLER_SENDS {
+    fn resend(&mut self, req: Request) {
+        if req.fingerprint == CRASHING && self.sends < CRASHING_SENDS {
             self.sends += 1;
             self.waiting.push_back(Request {
-                fingerprint: KILLER,
-                tries: 0,
+                fingerprint: CRASHING,
+                attempts: 0,
             });
         }
     }
@@ -112,16 +112,16 @@
         self.now += ROUND;
         for i in 0..GROUPS {
             let running = std::mem::take(&mut self.groups[i].3);
-            match running.iter().any(|r| r.fingerprint == KILLER) {
-                true => self.lose(i, running, round),
-                false => self.answer(i, running),
+            match running.iter().any(|r| r.fingerprint == CRASHING) {
+                true => self.crash(i, running, round),
+                false => self.complete(i, running),
             }
         }
     }
 
-    fn lose(&mut self, i: usize, running: Vec<Request>, round: usize) {
-        self.out.lost += 1;
-        let (id, epoch, up, _) = &mut self.groups[i];
+    fn crash(&mut self, i: usize, running: Vec<Request>, round: usize) {
+        self.out.crashes += 1;
+        let (id, epoch, up_at, _) = &mut self.groups[i];
         if let Some(suspects) = &mut self.suspects {
             let fingerprints = running.iter().map(|r| r.fingerprint);
             suspects.on_crash(
@@ -133,17 +133,17 @@
             );
         }
         *epoch += 1;
-        *up = round + 2;
-        let again = running.into_iter().map(|r| Request {
-            tries: r.tries + 1,
+        *up_at = round + 2;
+        let retries = running.into_iter().map(|r| Request {
+            attempts: r.attempts + 1,
             ..r
         });
-        self.waiting.extend(again);
+        self.waiting.extend(retries);
     }
 
-    fn answer(&mut self, i: usize, running: Vec<Request>) {
+    fn complete(&mut self, i: usize, running: Vec<Request>) {
         for req in running {
-            self.out.answered += 1;
+            self.out.completed += 1;
             if let Some(suspects) = &mut self.suspects {
                 suspects.end_trial(req.fingerprint, &self.groups[i].0);
                 suspects.on_completed(req.fingerprint, self.now);
@@ -166,13 +166,16 @@
 }
 
 fn main() {
-    println!("in flight | policy   | groups lost | innocents answered | rounds");
+    println!("in flight | policy   | crashes     | others completed   | rounds");
     for in_flight in [1, 8, 30] {
-        for (name, suspects) in [("apart", Some(SuspectTracker::default())), ("blind", None)] {
+        for (name, suspects) in [
+            ("isolate", Some(SuspectTracker::default())),
+            ("retry", None),
+        ] {
             let out = simulate(in_flight, suspects);
             println!(
                 "{in_flight:9} | {name:8} | {:11} | {:>9} of {:<6} | {}",
-                out.lost, out.answered, out.innocents, out.rounds
+                out.crashes, out.completed, out.others, out.rounds
             );
         }
     }
--- a/crates/route/examples/pick.rs
+++ b/crates/route/examples/pick.rs
@@ -1,8 +1,8 @@
-//! The group picker against random choice, in virtual time.
+//! Simulates the group picker against random choice, in virtual time.
 //!
-//! Eight groups, one of them four times slower per token; each caches the beginnings
-//! of a few prompts. Load reports and cache events arrive a second late, and every
-//! fourth batch of events is lost. A request that finds no slot waits.
+//! Eight groups, one of them four times slower per token; each caches the prefixes of
+//! a few prompts. Load reports and cache events arrive a second late, and every
+//! fourth batch of events is lost. Requests without a free slot wait.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -17,7 +17,7 @@
 const SLOW: usize = 3;
 const SLOWDOWN: u32 = 4;
 const SLOTS: u32 = 16;
-/// Prompts whose beginnings fit a group's cache.
+/// Prompts whose prefixes fit in a group's cache.
 const CACHED: usize = 10;
 const PROMPTS: usize = 48;
 const WARM: Duration = Duration::from_millis(200);
@@ -29,7 +29,7 @@
 #[derive(Default)]
 struct Group {
     running: u32,
-    /// Cached prompts, the least recently used first.
+    /// Cached prompts, least recently used first.
     cache: VecDeque<usize>,
     events: Vec<CacheEvent>,
     next_event: u64,
@@ -37,7 +37,7 @@
 }
 
 impl Group {
-    /// Whether the prompt was cached; it is afterwards.
+    /// Caches the prompt and returns whether it was cached before.
     fn touch(&mut self, prompt: usize, hashes: &PrefixHashes) -> bool {
         let at = self.cache.iter().position(|p| *p == prompt);
         if let Some(at) = at {
@@ -58,15 +58,15 @@
     prefix_hashes(&format!("prompt {prompt} ").repeat(200))
 }
 
-/// How a group is chosen.
-trait Choose {
+/// A policy that picks a group.
+trait Policy {
     fn choose(&mut self, hashes: &PrefixHashes, now: Instant) -> Option<Pick>;
     fn picker(&mut self) -> &mut GroupPicker;
 }
 
-struct Policy(GroupPicker);
+struct Picker(GroupPicker);
 
-impl Choose for Policy {
+impl Policy for Picker {
     fn choose(&mut self, hashes: &PrefixHashes, now: Instant) -> Option<Pick> {
         self.0.pick(SlotKind::Normal, hashes, &[], now)
     }
@@ -76,14 +76,14 @@
     }
 }
 
-/// Any group with a free slot.
+/// Picks any group with a free slot.
 struct Random {
     rng: fastrand::Rng,
     running: [u32; GROUPS],
     unused: GroupPicker,
 }
 
-impl Choose for Random {
+impl Policy for Random {
     fn choose(&mut self, _: &PrefixHashes, _: Instant) -> Option<Pick> {
         let free: Vec<usize> = (0..GROUPS).filter(|g| self.running[*g] < SLOTS).collect();
         let group = self.rng.choice(free)?;
@@ -120,34 +120,34 @@
 
 #[derive(Default)]
 struct Results {
-    firsts: Vec<Duration>,
-    wholes: Vec<Duration>,
+    first_tokens: Vec<Duration>,
+    totals: Vec<Duration>,
     warm: u32,
 }
 
 struct Simulation<C> {
-    choose: C,
-    ended: fn(&mut C, usize, &Pick),
+    policy: C,
+    release: fn(&mut C, usize, &Pick),
     groups: Vec<Group>,
     waiting: VecDeque<(Duration, usize)>,
     ends: BinaryHeap<Reverse<(Duration, u64)>>,
     running: BTreeMap<u64, (usize, Pick, Duration, Duration)>,
     started: u64,
-    zero: Instant,
+    start_time: Instant,
     results: Results,
 }
 
-impl<C: Choose> Simulation<C> {
-    fn new(choose: C, ended: fn(&mut C, usize, &Pick), zero: Instant) -> Simulation<C> {
+impl<C: Policy> Simulation<C> {
+    fn new(policy: C, release: fn(&mut C, usize, &Pick), start_time: Instant) -> Simulation<C> {
         Simulation {
-            choose,
-            ended,
+            policy,
+            release,
             groups: (0..GROUPS).map(|_| Group::default()).collect(),
             waiting: VecDeque::new(),
             ends: BinaryHeap::new(),
             running: BTreeMap::new(),
             started: 0,
-            zero,
+            start_time,
             results: Results::default(),
         }
     }
@@ -155,7 +155,7 @@
     fn fill(&mut self, now: Duration) {
         while let Some((at, prompt)) = self.waiting.front().copied() {
             let hashes = hashes_of(prompt);
-            let Some(pick) = self.choose.choose(&hashes, self.zero + now) else {
+            let Some(pick) = self.policy.choose(&hashes, self.start_time + now) else {
                 return;
             };
             self.waiting.pop_front();
@@ -168,14 +168,18 @@
             let warm = group.touch(prompt, &hashes);
             let slowdown = if index == SLOW { SLOWDOWN } else { 1 };
             let first = if warm { WARM } else { COLD } * slowdown;
-            let gap = Duration::from_micros(20_000 + 500 * u64::from(group.running)) * slowdown;
+            let inter_token =
+                Duration::from_micros(20_000 + 500 * u64::from(group.running)) * slowdown;
             self.results.warm += u32::from(warm);
-            self.results.firsts.push(now - at + first);
-            self.results.wholes.push(now - at + first + gap * TOKENS);
+            self.results.first_tokens.push(now - at + first);
+            self.results
+                .totals
+                .push(now - at + first + inter_token * TOKENS);
             self.started += 1;
             self.ends
-                .push(Reverse((now + first + gap * TOKENS, self.started)));
-            self.running.insert(self.started, (index, pick, first, gap));
+                .push(Reverse((now + first + inter_token * TOKENS, self.started)));
+            self.running
+                .insert(self.started, (index, pick, first, inter_token));
         }
     }
 
@@ -183,22 +187,26 @@
         let Some(Reverse((_, id))) = self.ends.pop() else {
             return;
         };
-        let Some((index, pick, first, gap)) = self.running.remove(&id) else {
+        let Some((index, pick, first, inter_token)) = self.running.remove(&id) else {
             return;
         };
         self.groups[index].running -= 1;
-        let picker = self.choose.picker();
+        let picker = self.policy.picker();
         for sample in [
             LatencySample::TimeToFirstToken(first),
-            LatencySample::InterTokenLatency(gap),
+            LatencySample::InterTokenLatency(inter_token),
         ] {
-            picker.observe(&pick.group, pick.epoch, sample, self.zero + now);
+            picker.observe(&pick.group, pick.epoch, sample, self.start_time + now);
         }
-        (self.ended)(&mut self.choose, index, &pick);
+        (self.release)(&mut self.policy, index, &pick);
     }
 
-    /// Once a second: the reports and events of a second ago.
-    fn report(&mut self, second: u64, seen: &mut VecDeque<Vec<(u32, u64, Vec<CacheEvent>)>>) {
+    /// Delivers the load reports and cache events of a second ago; called once a second.
+    fn deliver_reports(
+        &mut self,
+        second: u64,
+        seen: &mut VecDeque<Vec<(u32, u64, Vec<CacheEvent>)>>,
+    ) {
         let snapshot = self.groups.iter_mut().map(|g| {
             let events = std::mem::take(&mut g.events);
             let first = g.next_event;
@@ -209,9 +217,9 @@
         if seen.len() < 2 {
             return;
         }
-        let now = self.zero + Duration::from_secs(second);
+        let now = self.start_time + Duration::from_secs(second);
         let old = seen.pop_front().unwrap_or_default();
-        let picker = self.choose.picker();
+        let picker = self.policy.picker();
         for (i, (running, first, events)) in old.into_iter().enumerate() {
             picker.on_load_report(&name(i), 1, running, now - LAG);
             if !second.is_multiple_of(4) {
@@ -232,12 +240,12 @@
             let tick = Duration::from_secs(second);
             let now = next.min(end).min(tick);
             if now == tick {
-                self.report(second, &mut seen);
+                self.deliver_reports(second, &mut seen);
                 second += 1;
             } else if now == end {
                 self.end(now);
             } else {
-                // Prompts are used unevenly: the product of two draws favours the first ones.
+                // Prompts are used unevenly: the product of two draws favors the first ones.
                 let prompt = (rng.f64() * rng.f64() * PROMPTS as f64) as usize;
                 self.waiting.push_back((now, prompt));
                 next += Duration::from_secs_f64(-(1.0 - rng.f64()).ln() / rate);
@@ -245,7 +253,7 @@
             self.fill(now);
         }
         let slow = f64::from(self.groups[SLOW].served) / self.started as f64;
-        println!("    served by the slow group: {:.3}", slow);
+        println!("    fraction served by the slow group: {:.3}", slow);
         self.results
     }
 }
@@ -257,23 +265,23 @@
 }
 
 fn print(results: Results) -> (f64, f64) {
-    let served = results.firsts.len() as f64;
+    let served = results.first_tokens.len() as f64;
     println!(
-        "    prompts found in a cache: {:.2}",
+        "    cache hit ratio: {:.2}",
         f64::from(results.warm) / served
     );
-    (p95(results.firsts), p95(results.wholes))
+    (p95(results.first_tokens), p95(results.totals))
 }
 
 fn main() {
-    // All groups together serve about 17 a second when full, the slow one counted as a quarter.
+    // All groups together serve about 17 requests a second, the slow one counted as a quarter.
     for rate in [4.0, 8.0, 12.0] {
-        println!("{rate} requests a second");
-        let zero = Instant::now();
+        println!("{rate} requests per second");
+        let start_time = Instant::now();
         let mut picker = GroupPicker::new(1);
-        picker.set_candidates(candidates(), zero);
+        picker.set_candidates(candidates(), start_time);
         println!("  picker");
-        let policy = Simulation::new(Policy(picker), |c, _, pick| c.0.release(pick), zero);
+        let policy = Simulation::new(Picker(picker), |c, _, pick| c.0.release(pick), start_time);
         let policy = print(policy.run(rate));
         let random = Random {
             rng: fastrand::Rng::with_seed(2),
@@ -281,14 +289,14 @@
             unused: GroupPicker::new(1),
         };
         println!("  random group");
-        let random = Simulation::new(random, |c, i, _| c.running[i] -= 1, zero);
+        let random = Simulation::new(random, |c, i, _| c.running[i] -= 1, start_time);
         let random = print(random.run(rate));
         println!(
-            "  p95 first token, picker over random: {:.2}",
+            "  p95 time to first token, picker over random: {:.2}",
             policy.0 / random.0
         );
         println!(
-            "  p95 whole answer, picker over random: {:.2}",
+            "  p95 total latency, picker over random: {:.2}",
             policy.1 / random.1
         );
     }
