--- a/crates/route/src/queue/request.rs
+++ b/crates/route/src/queue/request.rs
@@ -45,7 +45,7 @@
         pub tenant: TenantId,
         /// Weight of the tenant in the fair order; 0 counts as 1.
         pub weight: u32,
-        /// Urgency given by the caller.
+        /// Urgency set by the caller.
         pub urgency: Urgency,
         /// Estimated cost, prompt and answer together.
         pub tokens: Tokens,
--- a/crates/route/src/suspects/record.rs
+++ b/crates/route/src/suspects/record.rs
@@ -53,7 +53,7 @@
         pub group: GroupId,
     }
 
-    /// The suspect state that a node sends to others; empty unless a group has crashed lately.
+    /// The suspect state that a node sends to others; empty unless a group has crashed recently.
     #[derive(Default)]
     pub struct SuspectUpdate {
         /// Crashes.
--- a/crates/route/tests/queue.rs
+++ b/crates/route/tests/queue.rs
@@ -134,7 +134,7 @@
 fn request_that_would_miss_its_deadline_is_refused_immediately() {
     let now = Instant::now();
     let mut q = ServiceQueue::new(QueueOptions::default());
-    q.admit(request("a", 3, 100, now + 600 * SECOND), "pace", now)
+    q.admit(request("a", 3, 100, now + 600 * SECOND), "measured", now)
         .expect("room");
     let started = q.dequeue(ONE, now).expect("work");
     let now = now + 10 * SECOND;
@@ -207,7 +207,7 @@
 #[googletest::test]
 fn remote_usage_is_charged_up_to_a_bound() {
     let now = Instant::now();
-    let order = |elsewhere: i64| {
+    let order = |remote_tokens: i64| {
         let mut q = ServiceQueue::new(QueueOptions::default().burst(1000));
         for _ in 0..30 {
             q.admit(
@@ -223,7 +223,7 @@
         q.charge_remote_usage(&TenantUsage {
             tenant,
             weight: 1,
-            tokens: elsewhere,
+            tokens: remote_tokens,
         });
         let order = drain(&mut q, now);
         order[..20]
