--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -15,11 +15,11 @@
 use eelgrassmill_fleet::{HostCandidate, LateRejection, Priority, Rate, choose_host};
 use tokio::sync::Notify;
 
-use crate::answer::{Refusal, RefusalCause};
 use crate::call::Call;
 use crate::core::Core;
-use crate::heads::{Head, InProgress, locked};
+use crate::heads::{Head, SlotGuard, locked};
 use crate::ports::Platform;
+use crate::refusal::{Refusal, RefusalCause};
 use crate::scheduler_client::{self, Acquired, SlotWanted};
 
 /// Requests beyond a replica's slots that are sent to it, to keep its batch full until the end
@@ -171,7 +171,7 @@
     model: &ModelName,
     resumed: bool,
     avoid: &[HostId],
-) -> Result<InProgress<P>, Refusal> {
+) -> Result<SlotGuard<P>, Refusal> {
     core.admission.arrived(service, model);
     let needed = (call.deadline - call.arrived).mul_f64(MIN_REMAINING_RATIO);
     let give_up = (call.deadline - needed).min(Instant::now() + MAX_QUEUE_TIME);
@@ -241,7 +241,7 @@
     if is_served {
         RefusalCause::Full
     } else {
-        RefusalCause::NothingServes
+        RefusalCause::NoHealthyTarget
     }
 }
 
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -12,17 +12,17 @@
 /// that the caller sees that its answer isn't whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the answer was cut off")]
-pub(crate) struct CutOff;
+pub(crate) struct Truncated;
 
-impl From<Infallible> for CutOff {
-    fn from(never: Infallible) -> CutOff {
+impl From<Infallible> for Truncated {
+    fn from(never: Infallible) -> Truncated {
         match never {}
     }
 }
 
 /// What is handed on of a stream.
 #[derive(Debug)]
-pub(crate) enum Piece {
+pub(crate) enum StreamChunk {
     Events(Bytes),
     /// All events have come.
     End,
@@ -30,54 +30,54 @@
 
 /// The body of an answer.
 ///
-/// A stream is whole only if it was said to be: a channel that ends without [`Piece::End`] is an
+/// A stream is whole only if it was said to be: a channel that ends without [`StreamChunk::End`] is an
 /// answer that was cut off, also where its caller reads too slowly to be told of anything.
 #[derive(Debug)]
-pub(crate) enum AnswerBody {
-    Whole(Option<Bytes>),
-    Stream(mpsc::Receiver<Piece>),
+pub(crate) enum ResponseBody {
+    Full(Option<Bytes>),
+    Stream(mpsc::Receiver<StreamChunk>),
 }
 
-impl AnswerBody {
-    pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
-        AnswerBody::Whole(Some(bytes))
+impl ResponseBody {
+    pub(crate) fn full(bytes: Bytes) -> ResponseBody {
+        ResponseBody::Full(Some(bytes))
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = CutOff;
+    type Error = Truncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 let bytes = bytes.take().filter(|b| !b.is_empty());
                 Poll::Ready(bytes.map(|b| Ok(Frame::data(b))))
             }
-            AnswerBody::Stream(rx) => rx.poll_recv(cx).map(|piece| match piece {
-                Some(Piece::Events(events)) => Some(Ok(Frame::data(events))),
-                Some(Piece::End) => None,
-                None => Some(Err(CutOff)),
+            ResponseBody::Stream(rx) => rx.poll_recv(cx).map(|chunk| match chunk {
+                Some(StreamChunk::Events(events)) => Some(Ok(Frame::data(events))),
+                Some(StreamChunk::End) => None,
+                None => Some(Err(Truncated)),
             }),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
-            AnswerBody::Stream(_) => false,
+            ResponseBody::Full(bytes) => bytes.as_ref().is_none_or(Bytes::is_empty),
+            ResponseBody::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => {
+            ResponseBody::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
-            AnswerBody::Stream(_) => SizeHint::default(),
+            ResponseBody::Stream(_) => SizeHint::default(),
         }
     }
 }
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -53,7 +53,7 @@
         self.first_sent + self.route.latency_objective
     }
 
-    pub(crate) fn repeatable(&self) -> bool {
+    pub(crate) fn is_idempotent(&self) -> bool {
         self.route.retry_policy == RetryPolicy::Idempotent
     }
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -19,8 +19,8 @@
 use crate::configuration::Configuration;
 use crate::heads::{HeadTable, locked};
 use crate::inbox::Inbox;
-use crate::logs::LineLimit;
-use crate::metrics::{Metrics, RepeatReason};
+use crate::logs::LogRateLimit;
+use crate::metrics::{Metrics, RetryReason};
 use crate::nodes::{Nodes, usable_processor};
 use crate::peers::{LOAD_INTERVAL, Peers};
 use crate::planning::PlanningEvent;
@@ -47,7 +47,7 @@
     pub(crate) lists: SnapshotRelay,
     pub(crate) retries: Mutex<HashMap<ServiceName, RetryWindow>>,
     /// Bounds the lines on exhausted retry budgets.
-    budget_lines: Mutex<LineLimit>,
+    budget_lines: Mutex<LogRateLimit>,
     pub(crate) metrics: Metrics,
     pub(crate) admission: AdmissionQueues,
     /// Schedulers that run at this node.
@@ -243,7 +243,7 @@
     }
 
     /// Whether one more repeat for this service is permitted; counts it if so.
-    pub(crate) fn try_repeat(&self, service: &ServiceName, reason: RepeatReason) -> bool {
+    pub(crate) fn try_repeat(&self, service: &ServiceName, reason: RetryReason) -> bool {
         let (nodes, now) = (self.node_count(), Instant::now());
         let mut retries = locked(&self.retries);
         let window = self.window(&mut retries, service);
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -14,16 +14,16 @@
 use smol_str::SmolStr;
 use tracing::info;
 
-use crate::answer::{Refusal, RefusalCause};
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::call::Call;
 use crate::core::Core;
 use crate::heads::locked;
-use crate::metrics::RepeatReason;
+use crate::metrics::RetryReason;
 use crate::ports::{AttemptMetadata, Dialect, Platform, ResponseClass};
+use crate::refusal::{Refusal, RefusalCause};
 
 /// Longest whole answer that is held in memory.
-const MAX_ANSWER: usize = 8 << 20;
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 /// A first attempt that may be repeated is given up after this many times the aim: by
 /// then the answer is late, and half of the route's timeout is left for another host.
 const PATIENCE_IN_AIMS: u32 = 2;
@@ -60,7 +60,7 @@
 pub(crate) async fn run<P: Platform>(
     core: &Arc<Core<P>>,
     call: &Call,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let service = pick_service(core, call)?;
     core.count_request(&service);
     let mut tried: SmallVec<[HostId; 4]> = SmallVec::new();
@@ -72,8 +72,8 @@
         let Some(host) = pick_host(core, &service, &tried) else {
             break;
         };
-        if arrived > 0 && !core.try_repeat(&service, RepeatReason::Attempt) {
-            refused = RefusalCause::NoRepeatsLeft;
+        if arrived > 0 && !core.try_repeat(&service, RetryReason::Attempt) {
+            refused = RefusalCause::RetryBudgetExhausted;
             break;
         }
         let patience = patience(call, runs);
@@ -85,8 +85,8 @@
                 runs += 1;
                 arrived += 1;
                 let failed = status.is_server_error();
-                let answer = whole_answer(core, status, &headers, body);
-                if !failed || !call.repeatable() || runs >= call.route.attempts {
+                let answer = full_response(core, status, &headers, body);
+                if !failed || !call.is_idempotent() || runs >= call.route.attempts {
                     return Ok(answer);
                 }
                 fallback = Some(answer);
@@ -96,7 +96,7 @@
             Attempt::Unknown(_) => {
                 runs += 1;
                 arrived += 1;
-                if !call.repeatable() || runs >= call.route.attempts {
+                if !call.is_idempotent() || runs >= call.route.attempts {
                     break;
                 }
             }
@@ -111,26 +111,26 @@
     let out_of_time = call.left().is_zero();
     if runs > 0 {
         let cause = if out_of_time {
-            RefusalCause::NoAnswerInTime
+            RefusalCause::ResponseTimeout
         } else {
-            RefusalCause::AnswerBroken
+            RefusalCause::BrokenResponse
         };
         return Refusal::new(cause);
     }
     if out_of_time {
-        return Refusal::new(RefusalCause::OutOfTime);
+        return Refusal::new(RefusalCause::DeadlineExceeded);
     }
     let cause = if arrived > 0 {
         refused
     } else {
-        RefusalCause::NothingServes
+        RefusalCause::NoHealthyTarget
     };
     Refusal::later(cause, RETRY_AFTER_FULL)
 }
 
 fn patience(call: &Call, runs: u32) -> Duration {
     let left = call.left();
-    if call.repeatable() && runs + 1 < call.route.attempts {
+    if call.is_idempotent() && runs + 1 < call.route.attempts {
         left.min((call.route.latency_objective * PATIENCE_IN_AIMS).max(left / 4))
     } else {
         left
@@ -144,7 +144,7 @@
 ) -> Result<ServiceName, Refusal> {
     let services = &call.route.services;
     let total: u32 = services.iter().map(|(_, weight)| *weight).sum();
-    let nothing = || Refusal::later(RefusalCause::NothingServes, RETRY_AFTER_FULL);
+    let nothing = || Refusal::later(RefusalCause::NoHealthyTarget, RETRY_AFTER_FULL);
     let mut at = fastrand::u32(0..total.max(1));
     let mut chosen = None;
     for (service, weight) in services {
@@ -260,7 +260,7 @@
 ) -> Result<(http::HeaderMap, Bytes), SmolStr> {
     let headers = response.headers.clone();
     let left = until.saturating_duration_since(Instant::now());
-    match tokio::time::timeout(left, response.read_whole(MAX_ANSWER)).await {
+    match tokio::time::timeout(left, response.read_whole(MAX_RESPONSE_BYTES)).await {
         Ok(Ok(body)) => Ok((headers, body)),
         Ok(Err(err)) => Err(err.to_string().into()),
         Err(_) => Err("the answer's body did not come in time".into()),
@@ -293,13 +293,13 @@
     }
 }
 
-fn whole_answer<P: Platform>(
+fn full_response<P: Platform>(
     core: &Core<P>,
     status: StatusCode,
     headers: &http::HeaderMap,
     body: Bytes,
-) -> Response<AnswerBody> {
-    let mut answer = Response::new(AnswerBody::whole(body));
+) -> Response<ResponseBody> {
+    let mut answer = Response::new(ResponseBody::full(body));
     *answer.status_mut() = status;
     *answer.headers_mut() = core.platform.dialect().response_headers(headers);
     answer
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -14,12 +14,12 @@
 
 use crate::config::GatewayConfig;
 use crate::core::Core;
-use crate::follow::{HostSink, OperatorSink, follow};
 use crate::heads::locked;
 use crate::peers::{self, Peers};
 use crate::ports::Platform;
+use crate::reflector::{HostSink, OperatorSink, follow};
 use crate::server::{self, OpenConnections};
-use crate::{configuration, leader, node_api, watch};
+use crate::{configuration, leader, loss_detection, node_api};
 
 /// After the signal to stop new connections are still taken for this long, in which
 /// callers' answers with this node's address run out: they keep them for the time that
@@ -194,6 +194,6 @@
     });
     tokio::spawn(configuration::follow_nodes(Arc::clone(core)));
     tokio::spawn(leader::run(Arc::clone(core)));
-    tokio::spawn(watch::run(Arc::clone(core)));
+    tokio::spawn(loss_detection::run(Arc::clone(core)));
     tokio::spawn(peers::publish_loads(Arc::clone(core)));
 }
--- a/crates/gateway/src/heads/mod.rs
+++ b/crates/gateway/src/heads/mod.rs
@@ -179,14 +179,14 @@
     }
 
     /// Counts one more request, until the guard is dropped.
-    pub(crate) fn enter<P: Platform>(self: &Arc<Head>, permit: Option<Permit<P>>) -> InProgress<P> {
+    pub(crate) fn enter<P: Platform>(self: &Arc<Head>, permit: Option<Permit<P>>) -> SlotGuard<P> {
         if self.running.fetch_add(1, Ordering::Relaxed) == 0 {
             self.progress().on_work_resumed(Instant::now());
         }
         if permit.is_none() {
             self.unscheduled.fetch_add(1, Ordering::Relaxed);
         }
-        InProgress {
+        SlotGuard {
             is_scheduled: permit.is_some(),
             head: Arc::clone(self),
             permit,
@@ -242,7 +242,7 @@
 }
 
 /// A request that counts at a head.
-pub(crate) struct InProgress<P: Platform> {
+pub(crate) struct SlotGuard<P: Platform> {
     pub(crate) head: Arc<Head>,
     /// `None` where it was placed without a scheduler.
     permit: Option<Permit<P>>,
@@ -252,7 +252,7 @@
     has_begun: bool,
 }
 
-impl<P: Platform> InProgress<P> {
+impl<P: Platform> SlotGuard<P> {
     /// Notes that its first event has come.
     pub(crate) fn began(&mut self) {
         self.has_begun = true;
@@ -283,7 +283,7 @@
     }
 }
 
-impl<P: Platform> Drop for InProgress<P> {
+impl<P: Platform> Drop for SlotGuard<P> {
     fn drop(&mut self) {
         self.head.running.fetch_sub(1, Ordering::Relaxed);
         if !self.is_scheduled {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -7,15 +7,12 @@
 //! headers are spelled, and where the leader is recorded.
 
 mod admission;
-mod answer;
 mod body;
 mod call;
 mod config;
 mod configuration;
 mod core;
 mod dispatch;
-mod events;
-mod follow;
 mod gateway;
 mod heads;
 mod inbox;
@@ -23,21 +20,23 @@
 mod list_codec;
 mod log_report;
 mod logs;
+mod loss_detection;
 mod metrics;
 mod node_api;
 mod nodes;
 mod peers;
 mod planning;
 mod ports;
+mod reflector;
+mod refusal;
 mod scheduler;
 mod scheduler_client;
 mod server;
 mod settings;
 mod snapshot_relay;
+mod sse;
 mod stream;
-mod watch;
 
-pub use crate::answer::{Refusal, RefusalCause};
 pub use crate::call::RequestMetadata;
 pub use crate::config::{Addresses, GatewayConfig, RetryBudgetConfig};
 pub use crate::gateway::{Gateway, GatewayError};
@@ -48,4 +47,5 @@
     LeaderElection, LeaderRecord, NodeRequest, OperatorChange, Platform, ResponseClass, Source,
     SourceError,
 };
+pub use crate::refusal::{Refusal, RefusalCause};
 pub use crate::settings::{SECTIONS, Settings, SettingsError};
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -27,16 +27,16 @@
 /// wakes up a few times a second and not for each line.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
 
-/// Shortest time between two lines of a [`LineLimit`].
+/// Shortest time between two lines of a [`LogRateLimit`].
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Bounds lines that a burst would otherwise write for each request.
 #[derive(Debug, Default)]
-pub(crate) struct LineLimit {
+pub(crate) struct LogRateLimit {
     last: Option<Instant>,
 }
 
-impl LineLimit {
+impl LogRateLimit {
     /// Whether a line may be written now; notes it if so.
     pub(crate) fn is_due(&mut self, now: Instant) -> bool {
         let recent = |at: Instant| now.saturating_duration_since(at) < LINE_INTERVAL;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -14,18 +14,18 @@
 
 /// Why a request is sent once more.
 #[derive(Clone, Copy, Debug)]
-pub(crate) enum RepeatReason {
+pub(crate) enum RetryReason {
     /// A host did not serve it.
     Attempt,
     /// Its stream broke off and goes on at another replica.
     Resume,
 }
 
-impl RepeatReason {
+impl RetryReason {
     fn name(self) -> &'static str {
         match self {
-            RepeatReason::Attempt => "attempt",
-            RepeatReason::Resume => "resume",
+            RetryReason::Attempt => "attempt",
+            RetryReason::Resume => "resume",
         }
     }
 }
@@ -124,7 +124,7 @@
     }
 
     /// Counts a request that is sent once more.
-    pub(crate) fn repeated(&self, service: &str, reason: RepeatReason) {
+    pub(crate) fn repeated(&self, service: &str, reason: RetryReason) {
         let labels = [service, reason.name()];
         self.repeats.with_label_values(&labels).inc();
     }
--- a/crates/gateway/src/node_api.rs
+++ b/crates/gateway/src/node_api.rs
@@ -9,7 +9,7 @@
 use hyper::body::Incoming;
 use smol_str::{SmolStr, ToSmolStr};
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::core::Core;
 use crate::heads::locked;
 use crate::ports::{Dialect, NodeRequest, Platform};
@@ -18,7 +18,7 @@
 pub(crate) async fn answer<P: Platform>(
     core: Arc<Core<P>>,
     req: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     Ok(
         match core
             .platform
@@ -37,7 +37,7 @@
     core.is_loaded() && !core.is_leaving()
 }
 
-fn ready<P: Platform>(core: &Core<P>) -> Response<AnswerBody> {
+fn ready<P: Platform>(core: &Core<P>) -> Response<ResponseBody> {
     if takes_requests(core) {
         status(StatusCode::OK)
     } else {
@@ -45,7 +45,7 @@
     }
 }
 
-fn resolve<P: Platform>(core: &Core<P>, near: &str) -> Response<AnswerBody> {
+fn resolve<P: Platform>(core: &Core<P>, near: &str) -> Response<ResponseBody> {
     let own: SmolStr = core.cfg.addresses.callers.to_smolstr();
     let own = takes_requests(core).then_some((&own, &core.cfg.failure_domain));
     let addresses = locked(&core.nodes).addresses(own, near, Instant::now());
@@ -59,14 +59,14 @@
     text(body, "application/json")
 }
 
-fn status(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(Bytes::new()));
+fn status(status: StatusCode) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
-fn text(body: Bytes, kind: &'static str) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body));
+fn text(body: Bytes, kind: &'static str) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::full(body));
     response
         .headers_mut()
         .insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -20,7 +20,7 @@
 use crate::nodes::NodeInfo;
 use crate::ports::{LeaderRecord, Platform};
 use crate::scheduler::ScheduledLoad;
-use crate::{scheduler, snapshot_relay, watch};
+use crate::{loss_detection, scheduler, snapshot_relay};
 
 /// Under this name the leader publishes its term.
 const LEADER: &str = "planner";
@@ -72,7 +72,7 @@
             Item::Group(record) if record.group == LEADER => {
                 locked(&self.core.leaders).insert(origin.clone(), record.version);
             }
-            Item::Group(update) => watch::heard(&self.core, origin, &update),
+            Item::Group(update) => loss_detection::heard(&self.core, origin, &update),
             Item::Load(load) => self.node_load(origin, &load),
             _ => {}
         }
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -13,8 +13,8 @@
 
 use crate::core::Core;
 use crate::heads::locked;
+use crate::loss_detection::{LostReplica, REPORT_TIMEOUT};
 use crate::ports::{HostControl, HostReport, HostUnavailable, LeaderRecord, Platform};
-use crate::watch::{LostReplica, REPORT_TIMEOUT};
 
 /// The planner looks at everything at least this often: its shortest own time is the
 /// 120 ms between two questions to a host.
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/refusal.rs
@@ -6,7 +6,7 @@
 use eelgrassmill_base::value;
 use http::{HeaderValue, Response, StatusCode, header};
 
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 
 value! { copy
     /// Why a request got no answer of a host.
@@ -18,27 +18,27 @@
         /// Its key is missing or unknown.
         UnknownKey,
         /// Its body is longer than the limit.
-        TooLong,
+        BodyTooLarge,
         /// Its body did not come in time or broke off.
-        BodyCut,
+        BodyIncomplete,
         /// It may outlast this node, which was told to stop.
-        NodeLeaves,
+        NodeLeaving,
         /// No host or replica can serve it now.
-        NothingServes,
+        NoHealthyTarget,
         /// All are full.
         Full,
         /// Hosts refused it, and no further attempt is permitted.
         HostsRefused,
         /// It would have to be sent again, and the bound on repeats is reached.
-        NoRepeatsLeft,
+        RetryBudgetExhausted,
         /// Its time was over before it was sent to a host.
-        OutOfTime,
+        DeadlineExceeded,
         /// It was sent, and no answer came in time.
-        NoAnswerInTime,
+        ResponseTimeout,
         /// It was sent, and the answer broke off or was of no use.
-        AnswerBroken,
+        BrokenResponse,
         /// This node exits and may have sent it.
-        NodeEnds,
+        NodeExiting,
     }
 }
 
@@ -49,35 +49,35 @@
             RefusalCause::NotLoaded => "not-loaded",
             RefusalCause::NoRoute => "no-route",
             RefusalCause::UnknownKey => "unknown-key",
-            RefusalCause::TooLong => "too-long",
-            RefusalCause::BodyCut => "body-cut",
-            RefusalCause::NodeLeaves => "node-leaves",
-            RefusalCause::NothingServes => "nothing-serves",
+            RefusalCause::BodyTooLarge => "too-long",
+            RefusalCause::BodyIncomplete => "body-cut",
+            RefusalCause::NodeLeaving => "node-leaves",
+            RefusalCause::NoHealthyTarget => "nothing-serves",
             RefusalCause::Full => "full",
             RefusalCause::HostsRefused => "hosts-refused",
-            RefusalCause::NoRepeatsLeft => "no-repeats-left",
-            RefusalCause::OutOfTime => "out-of-time",
-            RefusalCause::NoAnswerInTime => "no-answer-in-time",
-            RefusalCause::AnswerBroken => "answer-broken",
-            RefusalCause::NodeEnds => "node-ends",
+            RefusalCause::RetryBudgetExhausted => "no-repeats-left",
+            RefusalCause::DeadlineExceeded => "out-of-time",
+            RefusalCause::ResponseTimeout => "no-answer-in-time",
+            RefusalCause::BrokenResponse => "answer-broken",
+            RefusalCause::NodeExiting => "node-ends",
         }
     }
 
     fn status(self) -> StatusCode {
         match self {
             RefusalCause::NotLoaded
-            | RefusalCause::NodeLeaves
-            | RefusalCause::NothingServes
+            | RefusalCause::NodeLeaving
+            | RefusalCause::NoHealthyTarget
             | RefusalCause::Full
             | RefusalCause::HostsRefused
-            | RefusalCause::NoRepeatsLeft
-            | RefusalCause::OutOfTime => StatusCode::SERVICE_UNAVAILABLE,
+            | RefusalCause::RetryBudgetExhausted
+            | RefusalCause::DeadlineExceeded => StatusCode::SERVICE_UNAVAILABLE,
             RefusalCause::NoRoute => StatusCode::NOT_FOUND,
             RefusalCause::UnknownKey => StatusCode::UNAUTHORIZED,
-            RefusalCause::TooLong => StatusCode::PAYLOAD_TOO_LARGE,
-            RefusalCause::BodyCut => StatusCode::REQUEST_TIMEOUT,
-            RefusalCause::NoAnswerInTime => StatusCode::GATEWAY_TIMEOUT,
-            RefusalCause::AnswerBroken | RefusalCause::NodeEnds => StatusCode::BAD_GATEWAY,
+            RefusalCause::BodyTooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+            RefusalCause::BodyIncomplete => StatusCode::REQUEST_TIMEOUT,
+            RefusalCause::ResponseTimeout => StatusCode::GATEWAY_TIMEOUT,
+            RefusalCause::BrokenResponse | RefusalCause::NodeExiting => StatusCode::BAD_GATEWAY,
         }
     }
 }
@@ -110,9 +110,9 @@
     }
 
     /// As an HTTP answer.
-    pub(crate) fn into_response(self) -> Response<AnswerBody> {
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
         let text = format!("{{\"error\":\"{}\"}}", self.cause.name());
-        let mut answer = Response::new(AnswerBody::whole(Bytes::from(text)));
+        let mut answer = Response::new(ResponseBody::full(Bytes::from(text)));
         *answer.status_mut() = self.cause.status();
         let headers = answer.headers_mut();
         headers.insert(
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -19,7 +19,7 @@
 
 use crate::core::Core;
 use crate::heads::locked;
-use crate::logs::LineLimit;
+use crate::logs::LogRateLimit;
 use crate::ports::Platform;
 
 /// While requests wait, deadlines and free slots are checked this often.
@@ -55,7 +55,7 @@
     scheduler: Scheduler,
     /// Requests that got no slot since the last line on them.
     unserved: usize,
-    lines: LineLimit,
+    lines: LogRateLimit,
     /// Who waits for which decision.
     askers: HashMap<RequestKey, oneshot::Sender<SlotOutcome>>,
     /// Decisions that no ask was waiting for.
@@ -192,7 +192,7 @@
         scope: scope.clone(),
         scheduler: Scheduler::new(speed, now),
         unserved: 0,
-        lines: LineLimit::default(),
+        lines: LogRateLimit::default(),
         askers: HashMap::new(),
         uncollected: HashMap::new(),
         used: now,
--- a/crates/gateway/src/scheduler_client.rs
+++ b/crates/gateway/src/scheduler_client.rs
@@ -16,7 +16,7 @@
 
 use crate::call::Call;
 use crate::core::Core;
-use crate::heads::{Head, InProgress, locked};
+use crate::heads::{Head, SlotGuard, locked};
 use crate::ports::Platform;
 use crate::scheduler::{self, Scope};
 
@@ -161,7 +161,7 @@
 /// The outcome of asking for a slot.
 pub(crate) enum Acquired<P: Platform> {
     /// A slot was granted.
-    Granted(InProgress<P>),
+    Granted(SlotGuard<P>),
     /// None became free in time.
     Full,
     /// No scheduler answers.
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -18,12 +18,12 @@
 use tokio::sync::watch;
 use tracing::{info, warn};
 
-use crate::answer::{Refusal, RefusalCause};
-use crate::body::AnswerBody;
+use crate::body::ResponseBody;
 use crate::call::Call;
 use crate::core::Core;
 use crate::heads::locked;
 use crate::ports::{Dialect, Platform};
+use crate::refusal::{Refusal, RefusalCause};
 use crate::{dispatch, stream};
 
 /// Limits before any configuration is known, those of a usual one.
@@ -39,7 +39,7 @@
 /// second of their start.
 const RETRY_AFTER_START: Duration = Duration::from_millis(300);
 /// When a caller should come back that asked a node that leaves: at once, at another one.
-const RETRY_AFTER_LEAVE: Duration = Duration::ZERO;
+const RETRY_AFTER_LEAVING: Duration = Duration::ZERO;
 /// Pause after a failure to take a connection, such as no free descriptor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// What an attempt that ends with its call's time may take to say so.
@@ -81,7 +81,7 @@
     service: S,
 ) where
     S: Fn(Request<Incoming>) -> F + Clone + Send + 'static,
-    F: Future<Output = Result<Response<AnswerBody>, Infallible>> + Send + 'static,
+    F: Future<Output = Result<Response<ResponseBody>, Infallible>> + Send + 'static,
 {
     loop {
         let accepted = tokio::select! {
@@ -121,7 +121,7 @@
     _counted: Counted,
 ) where
     S: Fn(Request<Incoming>) -> F + Send + 'static,
-    F: Future<Output = Result<Response<AnswerBody>, Infallible>> + Send + 'static,
+    F: Future<Output = Result<Response<ResponseBody>, Infallible>> + Send + 'static,
 {
     if let Err(err) = stream.set_nodelay(true) {
         // The caller has already gone.
@@ -158,7 +158,7 @@
 pub(crate) async fn answer<P: Platform>(
     core: Arc<Core<P>>,
     req: Request<Incoming>,
-) -> Result<Response<AnswerBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     core.set_served();
     let arrived = Instant::now();
     let mut response = match serve(&core, req, arrived).await {
@@ -178,11 +178,11 @@
     core: &Arc<Core<P>>,
     req: Request<Incoming>,
     arrived: Instant,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let read = tokio::select! {
         read = read_call(core, req, arrived) => read,
         // Nothing was sent of what has not been read yet.
-        () = core.until_end() => Err(Refusal::later(RefusalCause::NodeLeaves, RETRY_AFTER_LEAVE)),
+        () = core.until_end() => Err(Refusal::later(RefusalCause::NodeLeaving, RETRY_AFTER_LEAVING)),
     };
     let call = match read {
         Ok(call) => Arc::new(call),
@@ -201,7 +201,7 @@
     let result = tokio::select! {
         result = run(core, &call) => result,
         // Signals the caller not to wait for more.
-        () = core.until_end() => Err(Refusal::new(RefusalCause::NodeEnds)),
+        () = core.until_end() => Err(Refusal::new(RefusalCause::NodeExiting)),
     };
     note(core, &call, kind, &result);
     result
@@ -210,11 +210,14 @@
 async fn run<P: Platform>(
     core: &Arc<Core<P>>,
     call: &Arc<Call>,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     // Not before the body is read: closing a connection with unread bytes resets it, and the
     // caller may never see this answer.
     if !core.may_begin(call.deadline + LAST_WORD) {
-        return Err(Refusal::later(RefusalCause::NodeLeaves, RETRY_AFTER_LEAVE));
+        return Err(Refusal::later(
+            RefusalCause::NodeLeaving,
+            RETRY_AFTER_LEAVING,
+        ));
     }
     if call.route.stream.is_some() {
         return stream::run(core, call).await;
@@ -222,14 +225,14 @@
     let all = tokio::time::timeout(call.left() + LAST_WORD, dispatch::run(core, call));
     // The attempt that was under way may have run.
     all.await
-        .unwrap_or_else(|_| Err(Refusal::new(RefusalCause::NoAnswerInTime)))
+        .unwrap_or_else(|_| Err(Refusal::new(RefusalCause::ResponseTimeout)))
 }
 
 fn note<P: Platform>(
     core: &Core<P>,
     call: &Call,
     kind: &str,
-    result: &Result<Response<AnswerBody>, Refusal>,
+    result: &Result<Response<ResponseBody>, Refusal>,
 ) {
     let service = call
         .route
@@ -336,7 +339,9 @@
     let read = tokio::time::timeout(left, Limited::new(body, most).collect()).await;
     match read {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
-        Ok(Err(err)) if err.is::<LengthLimitError>() => Err(Refusal::new(RefusalCause::TooLong)),
-        _ => Err(Refusal::new(RefusalCause::BodyCut)),
+        Ok(Err(err)) if err.is::<LengthLimitError>() => {
+            Err(Refusal::new(RefusalCause::BodyTooLarge))
+        }
+        _ => Err(Refusal::new(RefusalCause::BodyIncomplete)),
     }
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -12,25 +12,25 @@
 use tracing::info;
 
 use crate::admission;
-use crate::answer::{Refusal, RefusalCause};
-use crate::body::{AnswerBody, Piece};
+use crate::body::{ResponseBody, StreamChunk};
 use crate::call::Call;
 use crate::core::Core;
 use crate::dispatch::{pick_service, target_request};
-use crate::events::EventSplitter;
-use crate::heads::{Head, InProgress};
-use crate::metrics::RepeatReason;
+use crate::heads::{Head, SlotGuard};
+use crate::metrics::RetryReason;
 use crate::ports::{Dialect, Platform, ResponseClass};
+use crate::refusal::{Refusal, RefusalCause};
+use crate::sse::EventSplitter;
 
 /// Pieces that wait for a slow caller before its stream stops reading from the host.
-const PIECES_AHEAD: usize = 64;
+const STREAM_BUFFER_CHUNKS: usize = 64;
 /// Refusals by hosts after which a call is given up: each showed a host that was
 /// fuller than it looked, and by then the picture is a second old.
 const MAX_REFUSALS: u32 = 4;
 /// When a caller should come back whose request hosts refused.
 const RETRY_AFTER_REFUSED: Duration = Duration::from_millis(300);
 /// Longest answer of a host that is no stream.
-const MAX_WHOLE: usize = 1 << 20;
+const MAX_FULL_BODY_BYTES: usize = 1 << 20;
 
 /// One call's way through one or more replicas.
 struct Run<P: Platform> {
@@ -50,7 +50,7 @@
 
 /// An answer that has started.
 struct StartedResponse<P: Platform> {
-    slot: InProgress<P>,
+    slot: SlotGuard<P>,
     response: TargetResponse,
 }
 
@@ -75,19 +75,23 @@
 /// Why an answer has no reason to go on.
 enum StopReason {
     /// The call's time is over.
-    OutOfTime,
+    DeadlineExceeded,
     /// The caller has left.
-    CallerLeft,
+    CallerDisconnected,
     /// This node exits.
-    NodeEnds,
+    NodeExiting,
 }
 
 /// Waits until an answer has no reason to go on.
-async fn stopped<P: Platform>(core: &Core<P>, call: &Call, tx: &mpsc::Sender<Piece>) -> StopReason {
+async fn stopped<P: Platform>(
+    core: &Core<P>,
+    call: &Call,
+    tx: &mpsc::Sender<StreamChunk>,
+) -> StopReason {
     tokio::select! {
-        () = tokio::time::sleep(call.left()) => StopReason::OutOfTime,
-        () = tx.closed() => StopReason::CallerLeft,
-        () = core.until_end() => StopReason::NodeEnds,
+        () = tokio::time::sleep(call.left()) => StopReason::DeadlineExceeded,
+        () = tx.closed() => StopReason::CallerDisconnected,
+        () = core.until_end() => StopReason::NodeExiting,
     }
 }
 
@@ -95,7 +99,7 @@
 pub(crate) async fn run<P: Platform>(
     core: &Arc<Core<P>>,
     call: &Arc<Call>,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let service = pick_service(core, call)?;
     core.count_request(&service);
     let model = call.metadata.model.clone().unwrap_or_default();
@@ -119,8 +123,8 @@
     async fn begin(&mut self) -> Result<StartedResponse<P>, Refusal> {
         loop {
             let slot = self.acquire_slot().await?;
-            if self.arrivals > 0 && !self.core.try_repeat(&self.service, self.repeat_reason()) {
-                return Err(self.given_up(RefusalCause::NoRepeatsLeft));
+            if self.arrivals > 0 && !self.core.try_repeat(&self.service, self.retry_reason()) {
+                return Err(self.given_up(RefusalCause::RetryBudgetExhausted));
             }
             match self.attempt(slot).await {
                 Ok(started) => return Ok(started),
@@ -131,7 +135,7 @@
         }
     }
 
-    async fn acquire_slot(&mut self) -> Result<InProgress<P>, Refusal> {
+    async fn acquire_slot(&mut self) -> Result<SlotGuard<P>, Refusal> {
         let admitted = admission::admit(
             &self.core,
             &self.call,
@@ -150,16 +154,16 @@
         })
     }
 
-    fn repeat_reason(&self) -> RepeatReason {
+    fn retry_reason(&self) -> RetryReason {
         if self.events.last_id().is_some() {
-            RepeatReason::Resume
+            RetryReason::Resume
         } else {
-            RepeatReason::Attempt
+            RetryReason::Attempt
         }
     }
 
     fn may_run_again(&self) -> bool {
-        self.call.repeatable() && self.runs < self.call.route.attempts
+        self.call.is_idempotent() && self.runs < self.call.route.attempts
     }
 
     /// The refusal of a call that was tried. `cause` is for one that has not run, or that
@@ -167,19 +171,19 @@
     fn given_up(&self, cause: RefusalCause) -> Refusal {
         let late = self.call.left().is_zero();
         // A stream that may be resumed may run again, so its caller may come back.
-        if self.runs > 0 && !self.call.repeatable() {
+        if self.runs > 0 && !self.call.is_idempotent() {
             let cause = if late {
-                RefusalCause::NoAnswerInTime
+                RefusalCause::ResponseTimeout
             } else {
-                RefusalCause::AnswerBroken
+                RefusalCause::BrokenResponse
             };
             return Refusal::new(cause);
         }
         if late {
             let cause = if self.runs > 0 {
-                RefusalCause::NoAnswerInTime
+                RefusalCause::ResponseTimeout
             } else {
-                RefusalCause::OutOfTime
+                RefusalCause::DeadlineExceeded
             };
             return Refusal::new(cause);
         }
@@ -188,7 +192,7 @@
 
     async fn attempt(
         &mut self,
-        mut slot: InProgress<P>,
+        mut slot: SlotGuard<P>,
     ) -> Result<StartedResponse<P>, AttemptError> {
         let head = Arc::clone(&slot.head);
         let resume = self
@@ -243,14 +247,14 @@
         }
     }
 
-    fn rejected(&mut self, slot: &mut InProgress<P>) -> AttemptError {
+    fn rejected(&mut self, slot: &mut SlotGuard<P>) -> AttemptError {
         self.avoid.push(slot.head.host.clone());
         slot.rejected();
         self.refusals += 1;
         AttemptError::NotRun
     }
 
-    fn failed(&mut self, slot: &mut InProgress<P>) -> AttemptError {
+    fn failed(&mut self, slot: &mut SlotGuard<P>) -> AttemptError {
         self.avoid.push(slot.head.host.clone());
         // The end of the call's time, or a member that was lost, says nothing of the head.
         let is_heads_fault = !self.call.left().is_zero() && !slot.head.is_lost();
@@ -265,7 +269,7 @@
     async fn forward(
         mut self,
         started: StartedResponse<P>,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let status = started.response.status;
         let headers = self
             .core
@@ -275,8 +279,8 @@
         if status != StatusCode::OK {
             return self.forward_whole(started, status, headers).await;
         }
-        let (tx, rx) = mpsc::channel(PIECES_AHEAD);
-        let mut answer = Response::new(AnswerBody::Stream(rx));
+        let (tx, rx) = mpsc::channel(STREAM_BUFFER_CHUNKS);
+        let mut answer = Response::new(ResponseBody::Stream(rx));
         *answer.headers_mut() = headers;
         tokio::spawn(async move { self.forward_events(started, tx).await });
         Ok(answer)
@@ -288,23 +292,27 @@
         mut started: StartedResponse<P>,
         status: StatusCode,
         headers: HeaderMap,
-    ) -> Result<Response<AnswerBody>, Refusal> {
-        let read = started.response.read_whole(MAX_WHOLE);
+    ) -> Result<Response<ResponseBody>, Refusal> {
+        let read = started.response.read_whole(MAX_FULL_BODY_BYTES);
         let body = match tokio::time::timeout(self.call.left(), read).await {
             Ok(Ok(body)) => body,
             _ => {
                 self.failed(&mut started.slot);
-                return Err(Refusal::new(RefusalCause::AnswerBroken));
+                return Err(Refusal::new(RefusalCause::BrokenResponse));
             }
         };
-        let mut answer = Response::new(AnswerBody::whole(body));
+        let mut answer = Response::new(ResponseBody::full(body));
         *answer.status_mut() = status;
         *answer.headers_mut() = headers;
         Ok(answer)
     }
 
     /// Forwards events; where the run breaks off, resumes at another replica.
-    async fn forward_events(mut self, mut started: StartedResponse<P>, tx: mpsc::Sender<Piece>) {
+    async fn forward_events(
+        mut self,
+        mut started: StartedResponse<P>,
+        tx: mpsc::Sender<StreamChunk>,
+    ) {
         loop {
             let end = self.read(&mut started, &tx).await;
             if let ReadEnd::Broken(why) = &end {
@@ -339,7 +347,7 @@
     async fn read(
         &mut self,
         started: &mut StartedResponse<P>,
-        tx: &mpsc::Sender<Piece>,
+        tx: &mpsc::Sender<StreamChunk>,
     ) -> ReadEnd {
         let head = Arc::clone(&started.slot.head);
         let mut began = false;
@@ -365,23 +373,27 @@
             let Some(events) = self.events.push(&bytes) else {
                 continue;
             };
-            if let Err(reason) = self.send(tx, Piece::Events(events)).await {
+            if let Err(reason) = self.send(tx, StreamChunk::Events(events)).await {
                 return ReadEnd::Stopped(reason);
             }
         }
     }
 
-    async fn send(&self, tx: &mpsc::Sender<Piece>, piece: Piece) -> Result<(), StopReason> {
+    async fn send(
+        &self,
+        tx: &mpsc::Sender<StreamChunk>,
+        chunk: StreamChunk,
+    ) -> Result<(), StopReason> {
         tokio::select! {
-            sent = tx.send(piece) => sent.map_err(|_| StopReason::CallerLeft),
+            sent = tx.send(chunk) => sent.map_err(|_| StopReason::CallerDisconnected),
             reason = stopped(&self.core, &self.call, tx) => Err(reason),
         }
     }
 
     /// Sends the end of the stream. The slot at the host is free by now, so that a slow caller
     /// doesn't hold it.
-    async fn finish(&self, tx: &mpsc::Sender<Piece>) {
-        match self.send(tx, Piece::End).await {
+    async fn finish(&self, tx: &mpsc::Sender<StreamChunk>) {
+        match self.send(tx, StreamChunk::End).await {
             Ok(()) => self.count_end("answered"),
             Err(reason) => self.abort(reason),
         }
@@ -389,9 +401,9 @@
 
     fn abort(&self, reason: StopReason) {
         match reason {
-            StopReason::OutOfTime => self.cut("out of time"),
-            StopReason::CallerLeft => self.count_end("caller-left"),
-            StopReason::NodeEnds => self.cut("this node exits"),
+            StopReason::DeadlineExceeded => self.cut("out of time"),
+            StopReason::CallerDisconnected => self.count_end("caller-left"),
+            StopReason::NodeExiting => self.cut("this node exits"),
         }
     }
 
