--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -20,7 +20,7 @@
 use crate::heads::{Head, SlotGuard, locked};
 use crate::ports::Platform;
 use crate::refusal::{Refusal, RefusalCause};
-use crate::scheduler_client::{self, Acquired, SlotWanted};
+use crate::scheduler_client::{self, Acquired, SlotQuery};
 
 /// Requests beyond a replica's slots that are sent to it, to keep its batch full until the end
 /// of a stream is reported.
@@ -175,7 +175,7 @@
     core.admission.arrived(service, model);
     let needed = (call.deadline - call.arrived).mul_f64(MIN_REMAINING_RATIO);
     let give_up = (call.deadline - needed).min(Instant::now() + MAX_QUEUE_TIME);
-    let wanted = SlotWanted {
+    let wanted = SlotQuery {
         call,
         service,
         model,
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -47,7 +47,7 @@
     pub(crate) lists: SnapshotRelay,
     pub(crate) retries: Mutex<HashMap<ServiceName, RetryWindow>>,
     /// Bounds the lines on exhausted retry budgets.
-    budget_lines: Mutex<LogRateLimit>,
+    budget_log_limit: Mutex<LogRateLimit>,
     pub(crate) metrics: Metrics,
     pub(crate) admission: AdmissionQueues,
     /// Schedulers that run at this node.
@@ -56,23 +56,23 @@
     pub(crate) scheduler_client: SchedulerClient,
     pub(crate) planning: Inbox<PlanningEvent>,
     /// Set once this node was told to stop. It then closes its port (`stopping`), and cuts off
-    /// what still runs (`ending`).
+    /// what still runs (`exiting`).
     shutdown: OnceLock<Shutdown>,
     pub(crate) stopping: watch::Sender<bool>,
     /// Whether the time of those that still run is over: the process is about to exit.
-    ending: watch::Sender<bool>,
+    exiting: watch::Sender<bool>,
     served: AtomicBool,
     strained: AtomicBool,
     store_failures: AtomicU64,
     peer: OnceLock<Arc<PeerNode<Peers<P>>>>,
     /// How old other nodes' loads are when they are heard.
-    load_transit: Mutex<Duration>,
-    pub(crate) began: Instant,
+    load_report_delay: Mutex<Duration>,
+    pub(crate) started_at: Instant,
 }
 
 /// Weight of the newest time in the average of [`Core::load_age`], as 1 / this: some
 /// hundred are heard in a second.
-const TRANSIT_MEMORY: u32 = 64;
+const LOAD_DELAY_WINDOW: u32 = 64;
 
 impl<P: Platform> Core<P> {
     pub(crate) fn new(cfg: GatewayConfig, platform: P, http: TargetClient) -> Core<P> {
@@ -89,7 +89,7 @@
             leaders: Mutex::default(),
             lists: SnapshotRelay::default(),
             retries: Mutex::default(),
-            budget_lines: Mutex::default(),
+            budget_log_limit: Mutex::default(),
             metrics: Metrics::default(),
             admission: AdmissionQueues::default(),
             schedulers: Schedulers::default(),
@@ -98,13 +98,13 @@
             planning: Inbox::default(),
             shutdown: OnceLock::new(),
             stopping: watch::Sender::new(false),
-            ending: watch::Sender::new(false),
+            exiting: watch::Sender::new(false),
             served: AtomicBool::new(false),
             strained: AtomicBool::new(false),
             store_failures: AtomicU64::new(0),
             peer: OnceLock::new(),
-            load_transit: Mutex::new(LOAD_INTERVAL),
-            began: Instant::now(),
+            load_report_delay: Mutex::new(LOAD_INTERVAL),
+            started_at: Instant::now(),
         }
     }
 
@@ -123,29 +123,29 @@
     }
 
     /// Says that this node was told to stop. The first word counts.
-    pub(crate) fn leave(&self, shutdown: Shutdown) -> &Shutdown {
+    pub(crate) fn begin_shutdown(&self, shutdown: Shutdown) -> &Shutdown {
         self.shutdown.get_or_init(|| shutdown)
     }
 
     /// Whether this node may begin what can last until `deadline`.
-    pub(crate) fn may_begin(&self, deadline: Instant) -> bool {
+    pub(crate) fn may_start(&self, deadline: Instant) -> bool {
         self.shutdown.get().is_none_or(|s| s.may_begin(deadline))
     }
 
     /// Says to all that still runs that the process is about to exit.
-    pub(crate) fn end(&self) {
-        self.ending.send_replace(true);
+    pub(crate) fn signal_exit(&self) {
+        self.exiting.send_replace(true);
     }
 
     /// Waits until the process is about to exit.
-    pub(crate) async fn until_end(&self) {
-        let mut rx = self.ending.subscribe();
+    pub(crate) async fn wait_for_exit(&self) {
+        let mut rx = self.exiting.subscribe();
         // The sender lives as long as `self`, so this ends only by the value.
-        let _ = rx.wait_for(|ending| *ending).await;
+        let _ = rx.wait_for(|exiting| *exiting).await;
     }
 
     /// Notes that a request was served, here or elsewhere.
-    pub(crate) fn set_served(&self) {
+    pub(crate) fn mark_served(&self) {
         self.served.store(true, Ordering::Relaxed);
     }
 
@@ -167,12 +167,12 @@
         self.store_failures.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn store_failed(&self) {
+    pub(crate) fn record_store_failure(&self) {
         self.store_failures.fetch_add(1, Ordering::Relaxed);
         locked(&self.fleet).on_store_failure(Instant::now());
     }
 
-    pub(crate) fn store_answered(&self) {
+    pub(crate) fn record_store_success(&self) {
         self.store_failures.store(0, Ordering::Relaxed);
     }
 
@@ -195,7 +195,7 @@
     }
 
     /// Whether another node is known to be up.
-    pub(crate) fn knows_others(&self) -> bool {
+    pub(crate) fn knows_peers(&self) -> bool {
         locked(&self.nodes).alive(Instant::now()).next().is_some()
     }
 
@@ -210,18 +210,18 @@
     }
 
     /// Notes how old another node's load was when it was heard.
-    pub(crate) fn load_heard(&self, transit: Duration) {
-        let mut mean = locked(&self.load_transit);
-        *mean = (*mean * (TRANSIT_MEMORY - 1) + transit) / TRANSIT_MEMORY;
+    pub(crate) fn record_load_delay(&self, transit: Duration) {
+        let mut mean = locked(&self.load_report_delay);
+        *mean = (*mean * (LOAD_DELAY_WINDOW - 1) + transit) / LOAD_DELAY_WINDOW;
     }
 
     /// How old other nodes' loads are on average when they are used.
     pub(crate) fn load_age(&self) -> Duration {
-        *locked(&self.load_transit) + LOAD_INTERVAL / 2
+        *locked(&self.load_report_delay) + LOAD_INTERVAL / 2
     }
 
     /// Wakes the admission queues: a slot may have become free.
-    pub(crate) fn freed(&self) {
+    pub(crate) fn wake_waiting_requests(&self) {
         self.admission.wake();
     }
 
@@ -231,28 +231,28 @@
             let fleet = locked(&self.fleet);
             locked(&self.heads).update(&fleet, &self.catalog());
         }
-        self.freed();
+        self.wake_waiting_requests();
         self.planning.wake();
     }
 
     /// Counts a caller's request for the bound on repeats.
     pub(crate) fn count_request(&self, service: &ServiceName) {
         let mut retries = locked(&self.retries);
-        self.window(&mut retries, service)
+        self.retry_window(&mut retries, service)
             .on_request(Instant::now());
     }
 
     /// Whether one more repeat for this service is permitted; counts it if so.
-    pub(crate) fn try_repeat(&self, service: &ServiceName, reason: RetryReason) -> bool {
+    pub(crate) fn try_retry(&self, service: &ServiceName, reason: RetryReason) -> bool {
         let (nodes, now) = (self.node_count(), Instant::now());
         let mut retries = locked(&self.retries);
-        let window = self.window(&mut retries, service);
+        let window = self.retry_window(&mut retries, service);
         if window.try_retry(nodes, now) {
-            self.metrics.repeated(service, reason);
+            self.metrics.count_retry(service, reason);
             return true;
         }
         let budget = window.budget(nodes, now);
-        if locked(&self.budget_lines).is_due(now) {
+        if locked(&self.budget_log_limit).is_due(now) {
             info!(
                 event = "retry-budget", %service, outcome = "exhausted", nodes,
                 requests = budget.requests, repeats = budget.retries,
@@ -262,13 +262,13 @@
         false
     }
 
-    fn window<'w>(
+    fn retry_window<'w>(
         &self,
         windows: &'w mut HashMap<ServiceName, RetryWindow>,
         service: &ServiceName,
     ) -> &'w mut RetryWindow {
         let rules = self.cfg.retries;
-        let restarted = (!self.cfg.first_start).then_some(self.began);
+        let restarted = (!self.cfg.first_start).then_some(self.started_at);
         let fresh = || RetryWindow::new(rules.window, rules.ratio, rules.slack, restarted);
         windows.entry(service.clone()).or_insert_with(fresh)
     }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -72,7 +72,7 @@
         let Some(host) = pick_host(core, &service, &tried) else {
             break;
         };
-        if arrived > 0 && !core.try_repeat(&service, RetryReason::Attempt) {
+        if arrived > 0 && !core.try_retry(&service, RetryReason::Attempt) {
             refused = RefusalCause::RetryBudgetExhausted;
             break;
         }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -86,7 +86,7 @@
     /// Stops: leaves the addresses first, then ends connections between requests, and
     /// gives those that run their time. `false` when some still ran at the end.
     pub async fn stop(&self) -> bool {
-        let shutdown = self.core.leave(self.shutdown_from(Instant::now()));
+        let shutdown = self.core.begin_shutdown(self.shutdown_from(Instant::now()));
         peers::publish_status(&self.core);
         info!(event = "stop", connections = self.open.count());
         self.wait_until(shutdown.closes()).await;
@@ -99,7 +99,7 @@
         );
         let done = self.wait_until(shutdown.ends()).await;
         if !done {
-            self.core.end();
+            self.core.signal_exit();
             self.wait_until(shutdown.ends() + SHUTDOWN_NOTICE).await;
         }
         self.peer.stop();
@@ -164,7 +164,7 @@
         open,
         limits,
         stopping,
-        move |req| server::answer(Arc::clone(&for_calls), req),
+        move |req| server::handle(Arc::clone(&for_calls), req),
     ))
 }
 
@@ -177,7 +177,7 @@
     tokio::spawn(async move {
         let _never = never;
         server::listen(listener, open, limits, stopping, move |req| {
-            node_api::answer(Arc::clone(&for_calls), req)
+            node_api::handle(Arc::clone(&for_calls), req)
         })
         .await;
     });
--- a/crates/gateway/src/heads/mod.rs
+++ b/crates/gateway/src/heads/mod.rs
@@ -234,7 +234,7 @@
     }
 
     /// Waits until it is lost.
-    pub(crate) async fn until_lost(&self) {
+    pub(crate) async fn wait_until_lost(&self) {
         let mut rx = self.lost.subscribe();
         // The sender lives as long as `self`, so this ends only by the value.
         let _ = rx.wait_for(Option::is_some).await;
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -73,7 +73,7 @@
     }
     // A node that has just started may not have heard of the one that should lead, and a change of
     // leaders costs the seconds in which loads are quick.
-    if core.began.elapsed() < START_DELAY {
+    if core.started_at.elapsed() < START_DELAY {
         return None;
     }
     // Where most others aren't heard the holder may be one of them, and act on by what it
--- a/crates/gateway/src/loss_detection.rs
+++ b/crates/gateway/src/loss_detection.rs
@@ -166,7 +166,7 @@
         silent = ?silent, running = head.running_here(),
     );
     head.set_lost();
-    core.freed();
+    core.wake_waiting_requests();
     if let Some(peer) = core.peer() {
         let names: Vec<&str> = silent.iter().map(SmolStr::as_str).collect();
         // Not a verdict: a node that holds one counts as a watcher, which is taken for
@@ -203,7 +203,7 @@
             return;
         }
         head.set_lost();
-        core.freed();
+        core.wake_waiting_requests();
     }
     let names = String::from_utf8_lossy(&update.record);
     let silent = names
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -39,7 +39,7 @@
     /// Time to the first byte of an answer, by service and kind.
     pub(crate) first_byte: HistogramVec,
     /// Requests that were sent once more, by service and reason.
-    pub(crate) repeats: IntCounterVec,
+    pub(crate) retries: IntCounterVec,
     /// Orders by kind and reply.
     pub(crate) orders: IntCounterVec,
     /// Version of the configuration in force.
@@ -80,7 +80,7 @@
                 &["service", "kind", "outcome"],
             ),
             first_byte: register(&registry, first_byte),
-            repeats: counter(
+            retries: counter(
                 "gateway_repeats_total",
                 "Requests that were sent once more.",
                 &["service", "reason"],
@@ -117,26 +117,26 @@
 
 impl Metrics {
     /// Counts the end of a request.
-    pub(crate) fn ended(&self, service: &str, kind: &str, outcome: &str) {
+    pub(crate) fn count_request(&self, service: &str, kind: &str, outcome: &str) {
         self.requests
             .with_label_values(&[service, kind, outcome])
             .inc();
     }
 
     /// Counts a request that is sent once more.
-    pub(crate) fn repeated(&self, service: &str, reason: RetryReason) {
+    pub(crate) fn count_retry(&self, service: &str, reason: RetryReason) {
         let labels = [service, reason.name()];
-        self.repeats.with_label_values(&labels).inc();
+        self.retries.with_label_values(&labels).inc();
     }
 
     /// Counts the time to the first byte of an answer.
-    pub(crate) fn answered_after(&self, service: &str, kind: &str, time: Duration) {
+    pub(crate) fn observe_first_byte(&self, service: &str, kind: &str, time: Duration) {
         let histogram = self.first_byte.with_label_values(&[service, kind]);
         histogram.observe(time.as_secs_f64());
     }
 
     /// The page that a collector reads.
-    pub(crate) fn page(&self) -> Vec<u8> {
+    pub(crate) fn encode(&self) -> Vec<u8> {
         let mut buf = Vec::new();
         if let Err(err) = TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
             tracing::error!(%err, "metrics can't be encoded");
--- a/crates/gateway/src/node_api.rs
+++ b/crates/gateway/src/node_api.rs
@@ -15,7 +15,7 @@
 use crate::ports::{Dialect, NodeRequest, Platform};
 
 /// Answers one request to the node itself.
-pub(crate) async fn answer<P: Platform>(
+pub(crate) async fn handle<P: Platform>(
     core: Arc<Core<P>>,
     req: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Infallible> {
@@ -27,7 +27,7 @@
         {
             NodeRequest::Ready => ready(&core),
             NodeRequest::Resolve { failure_domain } => resolve(&core, &failure_domain),
-            NodeRequest::Metrics => text(core.metrics.page().into(), "text/plain; version=0.0.4"),
+            NodeRequest::Metrics => text(core.metrics.encode().into(), "text/plain; version=0.0.4"),
             NodeRequest::Unknown => status(StatusCode::NOT_FOUND),
         },
     )
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -66,7 +66,7 @@
         match item {
             Item::Status(status) => self.status(origin, status, as_of),
             Item::GroupLoad(load) => {
-                self.core.load_heard(as_of.elapsed());
+                self.core.record_load_delay(as_of.elapsed());
                 self.load(origin, &load, as_of);
             }
             Item::Group(record) if record.group == LEADER => {
@@ -83,7 +83,7 @@
         locked(&self.core.nodes).set_strained(origin, load.overloaded);
         // A load says that callers' requests have come: loads of weights are slow now.
         if load.load_permille > 0 {
-            self.core.set_served();
+            self.core.mark_served();
         }
     }
 
@@ -150,11 +150,11 @@
     }
 
     fn list(&self, req: ListRequest) -> impl Future<Output = ListReply> + Send {
-        snapshot_relay::answer(Arc::clone(&self.core), req)
+        snapshot_relay::handle(Arc::clone(&self.core), req)
     }
 
     fn schedule(&self, req: ScheduleRequest) -> impl Future<Output = ScheduleReply> + Send {
-        scheduler::answer(Arc::clone(&self.core), req)
+        scheduler::handle(Arc::clone(&self.core), req)
     }
 }
 
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -89,7 +89,8 @@
         let catalog = self.core.catalog();
         let services: Vec<&Service> = catalog.services().collect();
         let core = &self.core;
-        let cold = core.cfg.first_start && !core.has_served() && core.began.elapsed() < COLD_TIME;
+        let cold =
+            core.cfg.first_start && !core.has_served() && core.started_at.elapsed() < COLD_TIME;
         let commands = {
             let fleet = locked(&core.fleet);
             if !fleet.is_loaded() {
--- a/crates/gateway/src/reflector.rs
+++ b/crates/gateway/src/reflector.rs
@@ -140,7 +140,7 @@
         let patience = SEED_PATIENCE.mul_f64(fastrand::f64());
         let store = async {
             // The nodes that start beside this one are known only after a while.
-            while self.core.began.elapsed() < due + self.initial_read_delay(patience) {
+            while self.core.started_at.elapsed() < due + self.initial_read_delay(patience) {
                 tokio::time::sleep(MAX_COPY_POLL).await;
             }
             self.read_store(Duration::ZERO).await
@@ -215,11 +215,11 @@
     fn is_discovering_peers(&self) -> bool {
         let addresses = &self.core.cfg.addresses;
         let has_seeds = addresses.seeds.iter().any(|s| *s != addresses.peers);
-        has_seeds && !self.core.knows_others() && self.has_just_started()
+        has_seeds && !self.core.knows_peers() && self.has_just_started()
     }
 
     fn has_just_started(&self) -> bool {
-        self.core.began.elapsed() < PEER_DISCOVERY_TIMEOUT
+        self.core.started_at.elapsed() < PEER_DISCOVERY_TIMEOUT
     }
 
     async fn read_store(&self, wait: Duration) -> Result<Answer<S::Change>, SourceError> {
@@ -304,7 +304,7 @@
             Ok(answer) if reader.is_older(&answer.update) => tokio::time::sleep(pause).await,
             Ok(answer) => {
                 if answer.is_fresh {
-                    core.store_answered();
+                    core.record_store_success();
                 }
                 pause = FIRST_PAUSE;
                 if reader.take(answer, sink) {
@@ -316,7 +316,7 @@
                 reader.cursor = None;
             }
             Err(err) => {
-                core.store_failed();
+                core.record_store_failure();
                 if reader.healthy || pause == FIRST_PAUSE {
                     warn!(event = "dependency", list, state = "fails", %err);
                 }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -109,7 +109,7 @@
 }
 
 /// Answers a node that asks for a slot or reports slot events.
-pub(crate) async fn answer<P: Platform>(core: Arc<Core<P>>, req: ScheduleRequest) -> ScheduleReply {
+pub(crate) async fn handle<P: Platform>(core: Arc<Core<P>>, req: ScheduleRequest) -> ScheduleReply {
     let scope = Scope {
         service: req.service.as_str().into(),
         model: req.model.as_str().into(),
--- a/crates/gateway/src/scheduler_client.rs
+++ b/crates/gateway/src/scheduler_client.rs
@@ -152,7 +152,7 @@
     timeout: Duration,
 ) -> Option<ScheduleReply> {
     if *node == core.cfg.node {
-        return Some(scheduler::answer(Arc::clone(core), req).await);
+        return Some(scheduler::handle(Arc::clone(core), req).await);
     }
     let peer = core.peer()?;
     peer.call_scheduler(node, req, timeout).await.ok()
@@ -169,7 +169,7 @@
 }
 
 /// A request that needs a slot.
-pub(crate) struct SlotWanted<'w> {
+pub(crate) struct SlotQuery<'w> {
     pub(crate) call: &'w Call,
     pub(crate) service: &'w ServiceName,
     pub(crate) model: &'w ModelName,
@@ -183,7 +183,7 @@
 /// Asks for a slot.
 pub(crate) async fn acquire<P: Platform>(
     core: &Arc<Core<P>>,
-    wanted: &SlotWanted<'_>,
+    wanted: &SlotQuery<'_>,
 ) -> Acquired<P> {
     let mut stale = 0;
     let mut ejected = 0;
@@ -232,7 +232,7 @@
 /// Asks for a slot under the number of `permit`. `None` without an answer.
 async fn ask_scheduler<P: Platform>(
     core: &Arc<Core<P>>,
-    wanted: &SlotWanted<'_>,
+    wanted: &SlotQuery<'_>,
     permit: &Permit<P>,
 ) -> Option<ScheduleReply> {
     let ask = ask(wanted, permit.number);
@@ -264,7 +264,7 @@
     }
 }
 
-fn ask(wanted: &SlotWanted<'_>, request_number: u64) -> SlotRequest {
+fn ask(wanted: &SlotQuery<'_>, request_number: u64) -> SlotRequest {
     let now = Instant::now();
     let ms = |d: Duration| u32::try_from(d.as_millis()).unwrap_or(u32::MAX);
     let call = wanted.call;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -43,7 +43,7 @@
 /// Pause after a failure to take a connection, such as no free descriptor.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// What an attempt that ends with its call's time may take to say so.
-const LAST_WORD: Duration = Duration::from_millis(40);
+const FINAL_REPLY_MARGIN: Duration = Duration::from_millis(40);
 /// Smallest buffer that hyper accepts.
 const MIN_BUFFER: usize = 8 << 10;
 
@@ -86,7 +86,7 @@
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            () = told_to_stop(&mut stopping) => return,
+            () = wait_for_stop(&mut stopping) => return,
         };
         match accepted {
             Ok((stream, _)) => {
@@ -109,7 +109,7 @@
 }
 
 /// Waits for the sign to stop; the node that gives it going away is the same.
-async fn told_to_stop(stopping: &mut watch::Receiver<bool>) {
+async fn wait_for_stop(stopping: &mut watch::Receiver<bool>) {
     let _ = stopping.wait_for(|stop| *stop).await;
 }
 
@@ -138,7 +138,7 @@
     tokio::pin!(conn);
     let ended = tokio::select! {
         ended = conn.as_mut() => ended,
-        () = told_to_stop(&mut stopping) => {
+        () = wait_for_stop(&mut stopping) => {
             conn.as_mut().graceful_shutdown();
             conn.await
         }
@@ -155,11 +155,11 @@
 }
 
 /// Answers one request.
-pub(crate) async fn answer<P: Platform>(
+pub(crate) async fn handle<P: Platform>(
     core: Arc<Core<P>>,
     req: Request<Incoming>,
 ) -> Result<Response<ResponseBody>, Infallible> {
-    core.set_served();
+    core.mark_served();
     let arrived = Instant::now();
     let mut response = match serve(&core, req, arrived).await {
         Ok(response) => response,
@@ -182,13 +182,13 @@
     let read = tokio::select! {
         read = read_call(core, req, arrived) => read,
         // Nothing was sent of what has not been read yet.
-        () = core.until_end() => Err(Refusal::later(RefusalCause::NodeLeaving, RETRY_AFTER_LEAVING)),
+        () = core.wait_for_exit() => Err(Refusal::later(RefusalCause::NodeLeaving, RETRY_AFTER_LEAVING)),
     };
     let call = match read {
         Ok(call) => Arc::new(call),
         Err(refusal) => {
             let outcome = refusal.cause.name();
-            core.metrics.ended("none", "none", outcome);
+            core.metrics.count_request("none", "none", outcome);
             info!(event = "request", request = "", outcome);
             return Err(refusal);
         }
@@ -201,7 +201,7 @@
     let result = tokio::select! {
         result = run(core, &call) => result,
         // Signals the caller not to wait for more.
-        () = core.until_end() => Err(Refusal::new(RefusalCause::NodeExiting)),
+        () = core.wait_for_exit() => Err(Refusal::new(RefusalCause::NodeExiting)),
     };
     note(core, &call, kind, &result);
     result
@@ -213,7 +213,7 @@
 ) -> Result<Response<ResponseBody>, Refusal> {
     // Not before the body is read: closing a connection with unread bytes resets it, and the
     // caller may never see this answer.
-    if !core.may_begin(call.deadline + LAST_WORD) {
+    if !core.may_start(call.deadline + FINAL_REPLY_MARGIN) {
         return Err(Refusal::later(
             RefusalCause::NodeLeaving,
             RETRY_AFTER_LEAVING,
@@ -222,7 +222,7 @@
     if call.route.stream.is_some() {
         return stream::run(core, call).await;
     }
-    let all = tokio::time::timeout(call.left() + LAST_WORD, dispatch::run(core, call));
+    let all = tokio::time::timeout(call.left() + FINAL_REPLY_MARGIN, dispatch::run(core, call));
     // The attempt that was under way may have run.
     all.await
         .unwrap_or_else(|_| Err(Refusal::new(RefusalCause::ResponseTimeout)))
@@ -244,9 +244,9 @@
     let waited_ms = waited.as_millis() as u64;
     match result {
         Ok(response) => {
-            core.metrics.answered_after(service, kind, took);
+            core.metrics.observe_first_byte(service, kind, took);
             core.metrics
-                .ended(service, kind, response.status().as_str());
+                .count_request(service, kind, response.status().as_str());
             if took > call.route.latency_objective {
                 info!(
                     event = "request", request = %call.metadata.id, route = %call.route.name,
@@ -256,7 +256,7 @@
         }
         Err(refusal) => {
             let outcome = refusal.cause.name();
-            core.metrics.ended(service, kind, outcome);
+            core.metrics.count_request(service, kind, outcome);
             info!(
                 event = "request", request = %call.metadata.id, route = %call.route.name, outcome,
                 ms = took.as_millis() as u64, waited_ms, config = core.catalog().version(),
--- a/crates/gateway/src/snapshot_relay.rs
+++ b/crates/gateway/src/snapshot_relay.rs
@@ -188,17 +188,17 @@
 }
 
 /// Answers another node's question for a list.
-pub(crate) async fn answer<P: Platform>(core: Arc<Core<P>>, req: ListRequest) -> ListReply {
+pub(crate) async fn handle<P: Platform>(core: Arc<Core<P>>, req: ListRequest) -> ListReply {
     if req.list == <FleetChange as Relayed<P>>::LIST {
-        return answer_for::<P, FleetChange>(&core, &req).await;
+        return handle_for::<P, FleetChange>(&core, &req).await;
     }
     if req.list == <OperatorChange as Relayed<P>>::LIST {
-        return answer_for::<P, OperatorChange>(&core, &req).await;
+        return handle_for::<P, OperatorChange>(&core, &req).await;
     }
     ListReply::default()
 }
 
-async fn answer_for<P: Platform, C: Relayed<P>>(core: &Core<P>, req: &ListRequest) -> ListReply {
+async fn handle_for<P: Platform, C: Relayed<P>>(core: &Core<P>, req: &ListRequest) -> ListReply {
     let shared = C::log(core);
     if req.since > 0 {
         let wait = Duration::from_millis(req.wait_ms.into()).min(POLL_TIME);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -91,7 +91,7 @@
     tokio::select! {
         () = tokio::time::sleep(call.left()) => StopReason::DeadlineExceeded,
         () = tx.closed() => StopReason::CallerDisconnected,
-        () = core.until_end() => StopReason::NodeExiting,
+        () = core.wait_for_exit() => StopReason::NodeExiting,
     }
 }
 
@@ -123,7 +123,7 @@
     async fn begin(&mut self) -> Result<StartedResponse<P>, Refusal> {
         loop {
             let slot = self.acquire_slot().await?;
-            if self.arrivals > 0 && !self.core.try_repeat(&self.service, self.retry_reason()) {
+            if self.arrivals > 0 && !self.core.try_retry(&self.service, self.retry_reason()) {
                 return Err(self.given_up(RefusalCause::RetryBudgetExhausted));
             }
             match self.attempt(slot).await {
@@ -204,7 +204,7 @@
         let req = target_request(&*self.core, &self.call, &head.host, urgency, resume);
         let sent = tokio::select! {
             sent = self.core.http.send_within(&head.address, req, self.call.left()) => sent,
-            () = head.until_lost() => Err(SendError::Unknown("its replica was lost".to_owned())),
+            () = head.wait_until_lost() => Err(SendError::Unknown("its replica was lost".to_owned())),
         };
         let response = match sent {
             Ok(response) => response,
@@ -321,7 +321,7 @@
             }
             // Closes the connection to the host, which stops working on it.
             drop(started);
-            self.core.freed();
+            self.core.wake_waiting_requests();
             match end {
                 ReadEnd::Complete => return self.finish(&tx).await,
                 ReadEnd::Stopped(reason) => return self.abort(reason),
@@ -354,7 +354,7 @@
         loop {
             let chunk = tokio::select! {
                 chunk = started.response.chunk() => chunk,
-                () = head.until_lost() => return ReadEnd::Broken("its replica was lost".into()),
+                () = head.wait_until_lost() => return ReadEnd::Broken("its replica was lost".into()),
                 reason = stopped(&self.core, &self.call, tx) => return ReadEnd::Stopped(reason),
             };
             let bytes = match chunk {
@@ -419,7 +419,7 @@
     fn count_end(&self, outcome: &str) {
         self.core
             .metrics
-            .ended(&self.service, "stream-end", outcome);
+            .count_request(&self.service, "stream-end", outcome);
     }
 
     fn log_attempt(&self, head: &Head, outcome: &str, why: &str) {
