--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,11 +1,11 @@
-//! Admission queues: order requests while every replica is full, by model.
+//! Admission queues: order the requests of each model while all its replicas are full.
 //!
 //! Slots are granted by the scheduler that [`scheduler_client`](crate::scheduler_client) asks.
-//! Requests for which no scheduler answers wait here and are placed by reported loads.
+//! Requests that no scheduler answers wait here and are placed by reported loads.
 //!
 //! Sized for bursts above capacity. Requests that can still be on time go before late ones; within
-//! each, by urgency and then in the order of arrival. A stream that has lost its replica goes
-//! before all of them: its caller has part of the answer and leaves within 2 s.
+//! each class by urgency, then in order of arrival. A stream that resumes after the loss of its
+//! replica goes first: its caller has part of the response and disconnects within 2 s.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -22,24 +22,24 @@
 use crate::refusal::{Refusal, RefusalCause};
 use crate::scheduler_client::{self, Acquired, SlotQuery};
 
-/// Requests beyond a replica's slots that are sent to it, to keep its batch full until the end
-/// of a stream is reported.
+/// Requests sent to a replica beyond its slots, to keep its batch full until the end of a stream
+/// is reported.
 const PIPELINE_DEPTH: usize = 3;
-/// A waiting request checks for free slots this often: other nodes' loads fall without an event
-/// here.
+/// How often a waiting request checks for free slots: this node gets no event when other nodes'
+/// loads fall.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Part of a call's time that must remain for its answer.
+/// Part of a call's timeout that must remain for its response.
 const MIN_REMAINING_RATIO: f64 = 0.4;
-/// Longest wait of a request. Callers leave when nothing has come for 2 s, of which the first
-/// event takes some 300 ms.
+/// Longest wait of a request. Callers disconnect after 2 s without an event, and the first event
+/// takes some 300 ms.
 const MAX_QUEUE_TIME: Duration = Duration::from_millis(1400);
-/// Retry-After where every replica is full, times a random 1 to 2 so that callers don't return
-/// together.
+/// Retry-After when every replica is full, times a random factor from 1 to 2 so that callers
+/// don't return together.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(400);
 
-type Key = (Priority, u64);
+type QueueKey = (Priority, u64);
 
-/// Requests that wait, by model.
+/// Waiting requests by model.
 #[derive(Debug, Default)]
 pub(crate) struct AdmissionQueues {
     queues: Mutex<BTreeMap<(ServiceName, ModelName), Queue>>,
@@ -48,21 +48,21 @@
 #[derive(Debug, Default)]
 struct Queue {
     next: u64,
-    waiting: BTreeMap<Key, Arc<Notify>>,
+    waiting: BTreeMap<QueueKey, Arc<Notify>>,
     arrivals: Rate,
     late_rejection: LateRejection,
 }
 
 /// A queue entry. Dropping it leaves the queue.
-struct Waiting<'t> {
+struct QueueEntry<'t> {
     admission: &'t AdmissionQueues,
     queue: (ServiceName, ModelName),
-    key: Key,
+    key: QueueKey,
     woken: Arc<Notify>,
 }
 
 impl AdmissionQueues {
-    fn enter(&self, service: &ServiceName, model: &ModelName, rank: Priority) -> Waiting<'_> {
+    fn enter(&self, service: &ServiceName, model: &ModelName, rank: Priority) -> QueueEntry<'_> {
         let name = (service.clone(), model.clone());
         let mut queues = locked(&self.queues);
         let queue = queues.entry(name.clone()).or_default();
@@ -70,7 +70,7 @@
         queue.next += 1;
         let woken = Arc::new(Notify::new());
         queue.waiting.insert(key, Arc::clone(&woken));
-        Waiting {
+        QueueEntry {
             admission: self,
             queue: name,
             key,
@@ -86,14 +86,14 @@
         queue.arrivals.on_event(Instant::now());
     }
 
-    /// Requests for a model that come to this node in a second.
+    /// Requests for a model that arrive at this node per second.
     fn arrivals(&self, service: &ServiceName, model: &ModelName) -> f64 {
         let queues = locked(&self.queues);
         let queue = queues.get(&(service.clone(), model.clone()));
         queue.map_or(0.0, |q| q.arrivals.per_second(Instant::now()))
     }
 
-    /// Wakes the first of each queue.
+    /// Wakes the first request of each queue.
     pub(crate) fn wake(&self) {
         for queue in locked(&self.queues).values() {
             if let Some(first) = queue.waiting.values().next() {
@@ -103,7 +103,7 @@
     }
 }
 
-impl Waiting<'_> {
+impl QueueEntry<'_> {
     fn is_first(&self) -> bool {
         let queues = locked(&self.admission.queues);
         let first = queues
@@ -119,7 +119,7 @@
             .map_or(0, |q| q.waiting.len().saturating_sub(1))
     }
 
-    /// Notes whether it got a slot or was rejected.
+    /// Records whether it got a slot or was rejected.
     fn ended(&self, served: bool, now: Instant) {
         let mut queues = locked(&self.admission.queues);
         if let Some(queue) = queues.get_mut(&self.queue) {
@@ -133,8 +133,8 @@
         queue.is_some_and(|q| q.late_rejection.applies_to(self.key.0, now))
     }
 
-    /// Moves behind those that can still be on time.
-    fn too_late(&mut self) {
+    /// Moves it behind the requests that can still be on time.
+    fn demote_late(&mut self) {
         let Priority::OnTime(urgency) = self.key.0 else {
             return;
         };
@@ -147,7 +147,7 @@
     }
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for QueueEntry<'_> {
     fn drop(&mut self) {
         let mut queues = locked(&self.admission.queues);
         if let Some(queue) = queues.get_mut(&self.queue) {
@@ -159,11 +159,11 @@
     }
 }
 
-/// Waits for a slot at a replica of `model`, not at one of `avoid` if there is another.
-/// `resumed` is for a stream that continues elsewhere.
+/// Waits for a slot at a replica of `model`, avoiding the hosts in `avoid` if there is another.
+/// `resumed` marks a stream that continues at another replica.
 ///
 /// # Errors
-/// When there is none in time, or so many wait that there can't be.
+/// When no slot became free in time, or the queue is too long for that.
 pub(crate) async fn admit<P: Platform>(
     core: &Arc<Core<P>>,
     call: &Call,
@@ -174,68 +174,68 @@
 ) -> Result<SlotGuard<P>, Refusal> {
     core.admission.arrived(service, model);
     let needed = (call.deadline - call.arrived).mul_f64(MIN_REMAINING_RATIO);
-    let give_up = (call.deadline - needed).min(Instant::now() + MAX_QUEUE_TIME);
+    let give_up_at = (call.deadline - needed).min(Instant::now() + MAX_QUEUE_TIME);
     let wanted = SlotQuery {
         call,
         service,
         model,
         resumed,
         avoid,
-        until: give_up,
+        until: give_up_at,
     };
     match scheduler_client::acquire(core, &wanted).await {
         Acquired::Granted(slot) => return Ok(slot),
-        Acquired::Full => return Err(full(why_not(core, service, model))),
+        Acquired::Full => return Err(full_refusal(no_slot_cause(core, service, model))),
         Acquired::NoScheduler => {}
     }
     let rank = Priority::first(resumed, call.urgency());
     let mut waiting = core.admission.enter(service, model, rank);
     loop {
         if waiting.is_first() {
-            match choose(core, service, model, avoid) {
+            match choose_head(core, service, model, avoid) {
                 Choice::Free(head) => {
                     waiting.ended(true, Instant::now());
                     return Ok(head.enter(None));
                 }
                 Choice::Full { slots } if waiting.others() >= slots => {
-                    return Err(full(RefusalCause::Full));
+                    return Err(full_refusal(RefusalCause::Full));
                 }
                 _ => {}
             }
         }
         let now = Instant::now();
-        let left = give_up.saturating_duration_since(now);
+        let left = give_up_at.saturating_duration_since(now);
         if left.is_zero() {
             waiting.ended(false, now);
-            return Err(full(why_not(core, service, model)));
+            return Err(full_refusal(no_slot_cause(core, service, model)));
         }
         if now >= call.on_time_until() {
-            waiting.too_late();
+            waiting.demote_late();
         }
         if waiting.is_rejected_as_late(now) && !waiting.is_first() {
-            return Err(full(why_not(core, service, model)));
+            return Err(full_refusal(no_slot_cause(core, service, model)));
         }
         let woken = Arc::clone(&waiting.woken);
-        // The timeout is the regular recheck.
+        // A timeout is the periodic recheck.
         let _ = tokio::time::timeout(RECHECK_INTERVAL.min(left), woken.notified()).await;
     }
 }
 
-fn full(cause: RefusalCause) -> Refusal {
+fn full_refusal(cause: RefusalCause) -> Refusal {
     Refusal::later(cause, RETRY_AFTER_FULL.mul_f64(1.0 + fastrand::f64()))
 }
 
 enum Choice {
     Free(Arc<Head>),
-    /// All are full; together they have so many slots.
+    /// All heads are full; `slots` is their total.
     Full {
         slots: usize,
     },
-    None,
+    NoHeads,
 }
 
-/// Why there is no slot.
-fn why_not<P: Platform>(core: &Core<P>, service: &str, model: &str) -> RefusalCause {
+/// The cause when no slot is available.
+fn no_slot_cause<P: Platform>(core: &Core<P>, service: &str, model: &str) -> RefusalCause {
     let heads = locked(&core.heads);
     let is_served = heads.of_model(service, model).next().is_some();
     if is_served {
@@ -245,31 +245,31 @@
     }
 }
 
-/// Requests for a model that other nodes are likely to have sent since they reported their loads:
-/// callers choose among all nodes alike, so that each gets about as many as this one.
-fn unseen<P: Platform>(core: &Core<P>, service: &ServiceName, model: &ModelName) -> f64 {
+/// Estimates the requests for a model that other nodes sent since their last load reports: callers
+/// choose nodes evenly, so each node gets about as many as this one.
+fn unreported<P: Platform>(core: &Core<P>, service: &ServiceName, model: &ModelName) -> f64 {
     let others = core.node_count().saturating_sub(1) as f64;
     core.admission.arrivals(service, model) * others * core.load_age().as_secs_f64()
 }
 
-fn choose<P: Platform>(
+fn choose_head<P: Platform>(
     core: &Core<P>,
     service: &ServiceName,
     model: &ModelName,
     avoid: &[HostId],
 ) -> Choice {
-    let unseen = unseen(core, service, model);
+    let unreported = unreported(core, service, model);
     let heads = locked(&core.heads);
     let mut open: Vec<&Arc<Head>> = heads.of_model(service, model).collect();
     if open.iter().any(|h| !avoid.contains(&h.host)) {
         open.retain(|h| !avoid.contains(&h.host));
     }
     if open.is_empty() {
-        return Choice::None;
+        return Choice::NoHeads;
     }
     let slots: usize = open.iter().map(|h| h.slots).sum();
     let now = Instant::now();
-    // What a cold head bears is counted by its scheduler alone.
+    // Only a scheduler tracks how much load a cold head can take.
     let accepting = open
         .iter()
         .filter(|h| h.is_due(now) && h.cold(now).is_none());
@@ -282,9 +282,9 @@
     });
     let candidates = candidates.filter(|c| c.load < c.slots + PIPELINE_DEPTH);
     let free: Vec<HostCandidate> = candidates.collect();
-    let Some(chosen) = choose_host(&free, unseen, fastrand::f64()) else {
+    let Some(chosen) = choose_host(&free, unreported, fastrand::f64()) else {
         return Choice::Full { slots };
     };
     let head = open.iter().find(|h| h.host == chosen.host);
-    head.map_or(Choice::None, |h| Choice::Free(Arc::clone(h)))
+    head.map_or(Choice::NoHeads, |h| Choice::Free(Arc::clone(h)))
 }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -1,4 +1,4 @@
-//! What the parts of a node share, each part under its own lock.
+//! State that the tasks of a node share, with one lock for each part.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -29,7 +29,7 @@
 use crate::scheduler_client::SchedulerClient;
 use crate::snapshot_relay::SnapshotRelay;
 
-/// A node's state.
+/// The state of one node.
 pub(crate) struct Core<P: Platform> {
     pub(crate) cfg: GatewayConfig,
     pub(crate) platform: P,
@@ -38,15 +38,15 @@
     pub(crate) fleet: Mutex<Fleet>,
     pub(crate) heads: Mutex<HeadTable>,
     pub(crate) targets: Mutex<TargetStats>,
-    /// This node's part of the requests to plain hosts that are cold.
+    /// This node's share of the requests to plain hosts that are cold.
     pub(crate) cold_shares: Mutex<ColdRateLimiter>,
     pub(crate) nodes: Mutex<Nodes>,
-    /// Nodes that say that they are the planner's leader, this one too, and their terms.
+    /// Terms of the nodes that announced themselves as the planner's leader, this one included.
     pub(crate) leaders: Mutex<BTreeMap<NodeId, u64>>,
-    /// What this node tells others of the platform's lists.
+    /// Copies of the platform's lists for other nodes.
     pub(crate) lists: SnapshotRelay,
     pub(crate) retries: Mutex<HashMap<ServiceName, RetryWindow>>,
-    /// Bounds the lines on exhausted retry budgets.
+    /// Rate limit for log lines on exhausted retry budgets.
     budget_log_limit: Mutex<LogRateLimit>,
     pub(crate) metrics: Metrics,
     pub(crate) admission: AdmissionQueues,
@@ -55,23 +55,23 @@
     pub(crate) patience: Mutex<CallerTimeouts>,
     pub(crate) scheduler_client: SchedulerClient,
     pub(crate) planning: Inbox<PlanningEvent>,
-    /// Set once this node was told to stop. It then closes its port (`stopping`), and cuts off
-    /// what still runs (`exiting`).
+    /// Set when the node receives the signal to stop. It then closes its port (`stopping`) and
+    /// aborts the remaining requests (`exiting`).
     shutdown: OnceLock<Shutdown>,
     pub(crate) stopping: watch::Sender<bool>,
-    /// Whether the time of those that still run is over: the process is about to exit.
+    /// True once the grace period of running requests is over and the process is about to exit.
     exiting: watch::Sender<bool>,
     served: AtomicBool,
     strained: AtomicBool,
     store_failures: AtomicU64,
     peer: OnceLock<Arc<PeerNode<Peers<P>>>>,
-    /// How old other nodes' loads are when they are heard.
+    /// Moving average of the age of other nodes' load reports on arrival.
     load_report_delay: Mutex<Duration>,
     pub(crate) started_at: Instant,
 }
 
-/// Weight of the newest time in the average of [`Core::load_age`], as 1 / this: some
-/// hundred are heard in a second.
+/// Weight of the newest sample in the average of [`Core::load_age`], as 1 / this: some hundred
+/// reports arrive in a second.
 const LOAD_DELAY_WINDOW: u32 = 64;
 
 impl<P: Platform> Core<P> {
@@ -122,17 +122,17 @@
         self.shutdown.get().is_some()
     }
 
-    /// Says that this node was told to stop. The first word counts.
+    /// Records that this node received the signal to stop. Only the first call has an effect.
     pub(crate) fn begin_shutdown(&self, shutdown: Shutdown) -> &Shutdown {
         self.shutdown.get_or_init(|| shutdown)
     }
 
-    /// Whether this node may begin what can last until `deadline`.
+    /// Whether this node may start a request that can run until `deadline`.
     pub(crate) fn may_start(&self, deadline: Instant) -> bool {
         self.shutdown.get().is_none_or(|s| s.may_begin(deadline))
     }
 
-    /// Says to all that still runs that the process is about to exit.
+    /// Signals all running requests that the process is about to exit.
     pub(crate) fn signal_exit(&self) {
         self.exiting.send_replace(true);
     }
@@ -140,11 +140,11 @@
     /// Waits until the process is about to exit.
     pub(crate) async fn wait_for_exit(&self) {
         let mut rx = self.exiting.subscribe();
-        // The sender lives as long as `self`, so this ends only by the value.
+        // The sender lives as long as `self`, so the channel can't close before the value is set.
         let _ = rx.wait_for(|exiting| *exiting).await;
     }
 
-    /// Notes that a request was served, here or elsewhere.
+    /// Records that a request was served at any node.
     pub(crate) fn mark_served(&self) {
         self.served.store(true, Ordering::Relaxed);
     }
@@ -154,7 +154,7 @@
     }
 
     pub(crate) fn set_peer(&self, peer: Arc<PeerNode<Peers<P>>>) {
-        // Set by the one start of the node; a second call would change nothing.
+        // Called once, when the node starts; a second call has no effect.
         let _ = self.peer.set(peer);
     }
 
@@ -162,7 +162,7 @@
         self.peer.get()
     }
 
-    /// Failures of calls to the store in a row; 0 while it answers.
+    /// Consecutive failed calls to the store; 0 while it answers.
     pub(crate) fn store_failures(&self) -> u64 {
         self.store_failures.load(Ordering::Relaxed)
     }
@@ -176,7 +176,7 @@
         self.store_failures.store(0, Ordering::Relaxed);
     }
 
-    /// This node as one that could take a role.
+    /// This node as a candidate for roles.
     pub(crate) fn as_candidate(&self) -> RoleCandidate<'_> {
         RoleCandidate {
             id: &self.cfg.node,
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Whether this node has too little processor for what it does.
+    /// Whether this node has too little CPU for its load.
     pub(crate) fn is_strained(&self) -> bool {
         self.strained.load(Ordering::Relaxed)
     }
@@ -194,38 +194,38 @@
         self.strained.store(strained, Ordering::Relaxed);
     }
 
-    /// Whether another node is known to be up.
+    /// Whether at least one other node is known to be up.
     pub(crate) fn knows_peers(&self) -> bool {
         locked(&self.nodes).alive(Instant::now()).next().is_some()
     }
 
-    /// Whether this node says that it is the planner's leader.
+    /// Whether this node announces itself as the planner's leader.
     pub(crate) fn is_planner(&self) -> bool {
         locked(&self.leaders).contains_key(&self.cfg.node)
     }
 
-    /// Nodes that take requests, this one among them, as far as it knows.
+    /// Number of nodes that take requests, including this one, as far as it knows.
     pub(crate) fn node_count(&self) -> usize {
         locked(&self.nodes).sharing(Instant::now())
     }
 
-    /// Notes how old another node's load was when it was heard.
-    pub(crate) fn record_load_delay(&self, transit: Duration) {
+    /// Records how old another node's load report was on arrival.
+    pub(crate) fn record_load_delay(&self, delay: Duration) {
         let mut mean = locked(&self.load_report_delay);
-        *mean = (*mean * (LOAD_DELAY_WINDOW - 1) + transit) / LOAD_DELAY_WINDOW;
+        *mean = (*mean * (LOAD_DELAY_WINDOW - 1) + delay) / LOAD_DELAY_WINDOW;
     }
 
-    /// How old other nodes' loads are on average when they are used.
+    /// Average age of other nodes' load reports at the time they are used.
     pub(crate) fn load_age(&self) -> Duration {
         *locked(&self.load_report_delay) + LOAD_INTERVAL / 2
     }
 
-    /// Wakes the admission queues: a slot may have become free.
+    /// Wakes the admission queues after a slot may have become free.
     pub(crate) fn wake_waiting_requests(&self) {
         self.admission.wake();
     }
 
-    /// Takes the hosts' entries over into the table of heads.
+    /// Updates the table of heads from the host list.
     pub(crate) fn refresh_heads(&self) {
         {
             let fleet = locked(&self.fleet);
@@ -235,14 +235,14 @@
         self.planning.wake();
     }
 
-    /// Counts a caller's request for the bound on repeats.
-    pub(crate) fn count_request(&self, service: &ServiceName) {
+    /// Counts a caller's request for the retry budget.
+    pub(crate) fn count_for_retry_budget(&self, service: &ServiceName) {
         let mut retries = locked(&self.retries);
         self.retry_window(&mut retries, service)
             .on_request(Instant::now());
     }
 
-    /// Whether one more repeat for this service is permitted; counts it if so.
+    /// Takes one retry of this service from the retry budget; `false` if it is exhausted.
     pub(crate) fn try_retry(&self, service: &ServiceName, reason: RetryReason) -> bool {
         let (nodes, now) = (self.node_count(), Instant::now());
         let mut retries = locked(&self.retries);
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Requests with a whole answer: sent to a host, read to the end, then handed on.
+//! Dispatch of unary requests: the response is read completely, then forwarded.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,68 +22,69 @@
 use crate::ports::{AttemptMetadata, Dialect, Platform, ResponseClass};
 use crate::refusal::{Refusal, RefusalCause};
 
-/// Longest whole answer that is held in memory.
+/// Longest response that is held in memory, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
-/// A first attempt that may be repeated is given up after this many times the aim: by
-/// then the answer is late, and half of the route's timeout is left for another host.
-const PATIENCE_IN_AIMS: u32 = 2;
-/// When a caller should come back after every host refused: hosts refuse while their
-/// short queue is full, which a few answers later it no longer is.
+/// Timeout of an attempt that can be retried, in multiples of the route's latency target: by then
+/// the response is late, and half of the route's timeout is left for another host.
+const ATTEMPT_TIMEOUT_IN_AIMS: u32 = 2;
+/// Retry-After when every host refused: hosts refuse while their short queue is full, and it has
+/// room again a few responses later.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(150);
-/// Counts a request at a host until it is dropped. Failed unless said otherwise, so that
-/// an attempt that is given up counts as one.
-struct Running<'c, P: Platform> {
+
+/// Counts a request at a host until it is dropped. The outcome defaults to failed, so that an
+/// attempt that is dropped early counts as a failure.
+struct RequestGuard<'c, P: Platform> {
     core: &'c Core<P>,
     host: HostId,
     outcome: TargetOutcome,
 }
 
-impl<P: Platform> Drop for Running<'_, P> {
+impl<P: Platform> Drop for RequestGuard<'_, P> {
     fn drop(&mut self) {
         locked(&self.core.targets).on_request_end(&self.host, self.outcome, Instant::now());
     }
 }
 
-/// What became of one attempt.
-enum Attempt {
-    /// A whole answer.
+/// The result of one attempt.
+enum AttemptResult {
+    /// A complete response.
     Answered(StatusCode, http::HeaderMap, Bytes),
-    /// It reached nobody.
+    /// No host received it.
     NotSent(SmolStr),
-    /// A host refused it and will not run it.
+    /// A host refused it and never executes it.
     NotRun(SmolStr),
-    /// It may have run.
+    /// A host may have executed it.
     Unknown(SmolStr),
 }
 
-/// Serves a call whose answer is handed on whole.
+/// Serves a unary call.
 pub(crate) async fn run<P: Platform>(
     core: &Arc<Core<P>>,
     call: &Call,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let service = pick_service(core, call)?;
-    core.count_request(&service);
+    core.count_for_retry_budget(&service);
     let mut tried: SmallVec<[HostId; 4]> = SmallVec::new();
     let mut runs = 0;
-    let mut arrived = 0;
+    let mut delivered = 0;
     let mut fallback = None;
     let mut refused = RefusalCause::HostsRefused;
     while !call.left().is_zero() {
         let Some(host) = pick_host(core, &service, &tried) else {
             break;
         };
-        if arrived > 0 && !core.try_retry(&service, RetryReason::Attempt) {
+        if delivered > 0 && !core.try_retry(&service, RetryReason::Attempt) {
             refused = RefusalCause::RetryBudgetExhausted;
             break;
         }
-        let patience = patience(call, runs);
-        let attempt = attempt(core, call, &host, patience).await;
+        let attempt_timeout = attempt_timeout(call, runs);
+        let attempt = attempt(core, call, &host, attempt_timeout).await;
         tried.push(host.id.clone());
         log_attempt(call, &host, &attempt);
         match attempt {
-            Attempt::Answered(status, headers, body) => {
+            AttemptResult::Answered(status, headers, body) => {
                 runs += 1;
-                arrived += 1;
+                delivered += 1;
                 let failed = status.is_server_error();
                 let answer = full_response(core, status, &headers, body);
                 if !failed || !call.is_idempotent() || runs >= call.route.attempts {
@@ -91,23 +92,23 @@
                 }
                 fallback = Some(answer);
             }
-            Attempt::NotSent(_) => {}
-            Attempt::NotRun(_) => arrived += 1,
-            Attempt::Unknown(_) => {
+            AttemptResult::NotSent(_) => {}
+            AttemptResult::NotRun(_) => delivered += 1,
+            AttemptResult::Unknown(_) => {
                 runs += 1;
-                arrived += 1;
+                delivered += 1;
                 if !call.is_idempotent() || runs >= call.route.attempts {
                     break;
                 }
             }
         }
     }
-    fallback.ok_or_else(|| give_up(call, runs, arrived, refused))
+    fallback.ok_or_else(|| refusal_of(call, runs, delivered, refused))
 }
 
-/// The refusal of a call that no host answered. "Not run" is said only where that is
-/// certain; `refused` is then the reason, if it reached a host at all.
-fn give_up(call: &Call, runs: u32, arrived: u32, refused: RefusalCause) -> Refusal {
+/// The refusal of a call that no host answered. It states that the call didn't run only where
+/// that is certain; the cause is then `refused` if the call reached a host at all.
+fn refusal_of(call: &Call, runs: u32, delivered: u32, refused: RefusalCause) -> Refusal {
     let out_of_time = call.left().is_zero();
     if runs > 0 {
         let cause = if out_of_time {
@@ -120,7 +121,7 @@
     if out_of_time {
         return Refusal::new(RefusalCause::DeadlineExceeded);
     }
-    let cause = if arrived > 0 {
+    let cause = if delivered > 0 {
         refused
     } else {
         RefusalCause::NoHealthyTarget
@@ -128,23 +129,23 @@
     Refusal::later(cause, RETRY_AFTER_FULL)
 }
 
-fn patience(call: &Call, runs: u32) -> Duration {
+fn attempt_timeout(call: &Call, runs: u32) -> Duration {
     let left = call.left();
     if call.is_idempotent() && runs + 1 < call.route.attempts {
-        left.min((call.route.latency_objective * PATIENCE_IN_AIMS).max(left / 4))
+        left.min((call.route.latency_objective * ATTEMPT_TIMEOUT_IN_AIMS).max(left / 4))
     } else {
         left
     }
 }
 
-/// One of the route's services, by weight.
+/// Picks one of the route's services by weight.
 pub(crate) fn pick_service<P: Platform>(
     core: &Core<P>,
     call: &Call,
 ) -> Result<ServiceName, Refusal> {
     let services = &call.route.services;
     let total: u32 = services.iter().map(|(_, weight)| *weight).sum();
-    let nothing = || Refusal::later(RefusalCause::NoHealthyTarget, RETRY_AFTER_FULL);
+    let unavailable = || Refusal::later(RefusalCause::NoHealthyTarget, RETRY_AFTER_FULL);
     let mut at = fastrand::u32(0..total.max(1));
     let mut chosen = None;
     for (service, weight) in services {
@@ -155,7 +156,7 @@
         at -= weight;
     }
     let first = services.first().map(|(service, _)| service.clone());
-    let service = chosen.or(first).ok_or_else(nothing)?;
+    let service = chosen.or(first).ok_or_else(unavailable)?;
     let fleet = locked(&core.fleet);
     let serves = |s: &ServiceName| {
         fleet
@@ -165,9 +166,9 @@
     if serves(&service) {
         return Ok(service);
     }
-    // Where a divided route's service has no host at all, another one serves.
+    // Falls back to another service of a weighted route if the picked one has no host.
     let other = services.iter().find(|(s, weight)| *weight > 0 && serves(s));
-    other.map(|(s, _)| s.clone()).ok_or_else(nothing)
+    other.map(|(s, _)| s.clone()).ok_or_else(unavailable)
 }
 
 fn pick_host<P: Platform>(core: &Core<P>, service: &str, tried: &[HostId]) -> Option<Host> {
@@ -220,35 +221,38 @@
     core: &Core<P>,
     call: &Call,
     host: &Host,
-    patience: Duration,
-) -> Attempt {
+    attempt_timeout: Duration,
+) -> AttemptResult {
     locked(&core.targets).on_request_start(&host.id);
-    let mut running = Running {
+    let mut running = RequestGuard {
         core,
         host: host.id.clone(),
         outcome: TargetOutcome::Failed,
     };
     let req = target_request(core, call, &host.id, None, None);
-    let until = Instant::now() + patience;
-    let sent = core.http.send_within(&host.address, req, patience).await;
+    let until = Instant::now() + attempt_timeout;
+    let sent = core
+        .http
+        .send_within(&host.address, req, attempt_timeout)
+        .await;
     let response = match sent {
         Ok(response) => response,
-        Err(SendError::NotSent(why)) => return Attempt::NotSent(why.into()),
-        Err(err) => return Attempt::Unknown(err.to_string().into()),
+        Err(SendError::NotSent(why)) => return AttemptResult::NotSent(why.into()),
+        Err(err) => return AttemptResult::Unknown(err.to_string().into()),
     };
     let status = response.status;
     match core.platform.dialect().classify(status, &response.headers) {
-        ResponseClass::NotRun => Attempt::NotRun("refused".into()),
-        ResponseClass::WrongHost => Attempt::NotRun("another host has this address".into()),
-        ResponseClass::Unverified => Attempt::Unknown("answer without proof".into()),
+        ResponseClass::NotRun => AttemptResult::NotRun("refused".into()),
+        ResponseClass::WrongHost => AttemptResult::NotRun("another host has this address".into()),
+        ResponseClass::Unverified => AttemptResult::Unknown("unverified response".into()),
         ResponseClass::Answered => {
             let read = read_whole(response, until).await;
             if read.is_ok() && !status.is_server_error() {
                 running.outcome = TargetOutcome::Served;
             }
             match read {
-                Ok((headers, body)) => Attempt::Answered(status, headers, body),
-                Err(why) => Attempt::Unknown(why),
+                Ok((headers, body)) => AttemptResult::Answered(status, headers, body),
+                Err(why) => AttemptResult::Unknown(why),
             }
         }
     }
@@ -263,11 +267,11 @@
     match tokio::time::timeout(left, response.read_whole(MAX_RESPONSE_BYTES)).await {
         Ok(Ok(body)) => Ok((headers, body)),
         Ok(Err(err)) => Err(err.to_string().into()),
-        Err(_) => Err("the answer's body did not come in time".into()),
+        Err(_) => Err("timed out reading the response body".into()),
     }
 }
 
-/// The request as a host gets it.
+/// Builds the request to a host.
 pub(crate) fn target_request<P: Platform>(
     core: &Core<P>,
     call: &Call,
@@ -305,13 +309,13 @@
     answer
 }
 
-fn log_attempt(call: &Call, host: &Host, attempt: &Attempt) {
+fn log_attempt(call: &Call, host: &Host, attempt: &AttemptResult) {
     let (outcome, why) = match attempt {
-        Attempt::Answered(status, ..) if !status.is_server_error() => return,
-        Attempt::Answered(status, ..) => ("failed", SmolStr::from(status.as_str())),
-        Attempt::NotSent(why) => ("not-sent", why.clone()),
-        Attempt::NotRun(why) => ("not-run", why.clone()),
-        Attempt::Unknown(why) => ("unknown", why.clone()),
+        AttemptResult::Answered(status, ..) if !status.is_server_error() => return,
+        AttemptResult::Answered(status, ..) => ("failed", SmolStr::from(status.as_str())),
+        AttemptResult::NotSent(why) => ("not-sent", why.clone()),
+        AttemptResult::NotRun(why) => ("not-run", why.clone()),
+        AttemptResult::Unknown(why) => ("unknown", why.clone()),
     };
     info!(event = "attempt", request = %call.metadata.id, host = %host.id, outcome, %why);
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -101,7 +101,7 @@
     call: &Arc<Call>,
 ) -> Result<Response<ResponseBody>, Refusal> {
     let service = pick_service(core, call)?;
-    core.count_request(&service);
+    core.count_for_retry_budget(&service);
     let model = call.metadata.model.clone().unwrap_or_default();
     let mut run = Run {
         core: Arc::clone(core),
@@ -230,7 +230,7 @@
                 Err(self.rejected(&mut slot))
             }
             ResponseClass::Unverified => {
-                self.log_attempt(&head, "unknown", "answer without proof");
+                self.log_attempt(&head, "unknown", "unverified response");
                 Err(self.failed(&mut slot))
             }
             ResponseClass::Answered if response.status.is_server_error() => {
