--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -128,7 +128,7 @@
         locked(&self.core.nodes).forget(origin);
         locked(&self.core.leaders).remove(origin);
         self.core.configuration.forget(origin);
-        self.core.schedulers.forget(origin);
+        self.core.schedulers.forget_node(origin);
         for head in locked(&self.core.heads).all() {
             head.forget(origin);
         }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -1,7 +1,7 @@
-//! Schedulers: assign the requests of all nodes to the heads of a model, where this node is the
-//! one that does.
+//! Schedulers that run at this node: each assigns the requests of all nodes to the heads of a
+//! model.
 //!
-//! [`crate::scheduler_client`] chooses the node; the policy is [`Scheduler`]'s.
+//! [`crate::scheduler_client`] chooses the node; [`Scheduler`] has the policy.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -22,18 +22,18 @@
 use crate::logs::LogRateLimit;
 use crate::ports::Platform;
 
-/// While requests wait, deadlines and free slots are checked this often.
+/// How often deadlines and free slots are checked while requests wait.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A decision that its node doesn't collect within this is taken back. Nodes ask again within a
-/// few milliseconds of being told to wait.
+/// A decision that its node doesn't collect within this is revoked. Nodes ask again within a few
+/// milliseconds of a reply that the request still waits.
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// A scheduler that nobody has called for this long is dropped.
+/// A scheduler that got no call for this long is dropped.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest that one ask is held.
+/// Longest time that one ask is held before its reply.
 const MAX_RPC_WAIT: Duration = Duration::from_millis(250);
 
 value! {
-    /// What one scheduler serves.
+    /// The requests that one scheduler assigns.
     #[derive(Hash, PartialOrd, Ord)]
     pub(crate) struct Scope {
         pub(crate) service: ServiceName,
@@ -46,30 +46,30 @@
 /// The schedulers that run at this node.
 #[derive(Debug, Default)]
 pub(crate) struct Schedulers {
-    running: Mutex<HashMap<Scope, Arc<Mutex<Running>>>>,
+    running: Mutex<HashMap<Scope, Arc<Mutex<RunningScheduler>>>>,
 }
 
 #[derive(Debug)]
-struct Running {
+struct RunningScheduler {
     scope: Scope,
     scheduler: Scheduler,
-    /// Requests that got no slot since the last line on them.
+    /// Requests that got no slot since the last log line on them.
     unserved: usize,
-    lines: LogRateLimit,
-    /// Who waits for which decision.
+    log_limit: LogRateLimit,
+    /// Pending asks, by the request whose decision they wait for.
     askers: HashMap<RequestKey, oneshot::Sender<SlotOutcome>>,
-    /// Decisions that no ask was waiting for.
+    /// Decisions that were made while no ask was pending.
     uncollected: HashMap<RequestKey, (SlotOutcome, Instant)>,
-    used: Instant,
+    last_used: Instant,
 }
 
 value! { copy
-    /// What a scheduler reports of a head.
+    /// A scheduler's load report for a head.
     #[derive(Default)]
     pub(crate) struct ScheduledLoad {
-        /// Requests that it has assigned to the head.
+        /// Requests that the scheduler has assigned to the head.
         pub(crate) assigned: usize,
-        /// The head's part of the requests that wait.
+        /// The head's share of the requests that wait.
         pub(crate) queued: usize,
         /// Whether the head rejects all requests.
         pub(crate) is_ejected: bool,
@@ -77,7 +77,7 @@
 }
 
 impl Schedulers {
-    /// What the schedulers of this node have to report of each head.
+    /// The load reports of this node's schedulers for each head.
     pub(crate) fn loads(&self, now: Instant) -> HashMap<HeadKey, ScheduledLoad> {
         let mut loads = HashMap::new();
         for running in locked(&self.running).values() {
@@ -97,8 +97,8 @@
         loads
     }
 
-    /// Forgets the requests of a node that is gone.
-    pub(crate) fn forget(&self, node: &str) {
+    /// Forgets the requests of a node that left or died.
+    pub(crate) fn forget_node(&self, node: &str) {
         for running in locked(&self.running).values() {
             let mut running = locked(running);
             running.scheduler.remove_node(node);
@@ -108,27 +108,27 @@
     }
 }
 
-/// Answers a node that asks for a slot or reports slot events.
+/// Handles a node's call that asks for a slot or reports slot events.
 pub(crate) async fn handle<P: Platform>(core: Arc<Core<P>>, req: ScheduleRequest) -> ScheduleReply {
     let scope = Scope {
         service: req.service.as_str().into(),
         model: req.model.as_str().into(),
         heads_in: (!req.head_domain.is_empty()).then(|| req.head_domain.as_str().into()),
     };
-    let Some(running) = find(&core, &scope) else {
+    let Some(running) = find_or_start(&core, &scope) else {
         return ScheduleReply::default();
     };
     let node = NodeId::from(req.from.as_str());
     let now = Instant::now();
     for slot_event in &req.slot_events {
-        locked(&running).take(&node, slot_event, now);
+        locked(&running).on_slot_event(&node, slot_event, now);
     }
     let Some(wanted) = &req.slot_request else {
-        locked(&running).decide(&heads(&core, &scope), now);
+        locked(&running).decide(&open_heads(&core, &scope), now);
         return ScheduleReply::default();
     };
-    let ask = read(&node, &req.failure_domain, wanted, now);
-    let asked = locked(&running).ask(ask, &heads(&core, &scope), now);
+    let ask = read_ask(&node, &req.failure_domain, wanted, now);
+    let asked = locked(&running).ask(ask, &open_heads(&core, &scope), now);
     let wait = Duration::from_millis(wanted.wait_ms.into()).min(MAX_RPC_WAIT);
     match tokio::time::timeout(wait, asked).await {
         Ok(Ok(outcome)) => reply(outcome),
@@ -136,7 +136,7 @@
     }
 }
 
-fn read(node: &NodeId, domain: &str, wanted: &SlotRequest, now: Instant) -> PendingRequest {
+fn read_ask(node: &NodeId, domain: &str, wanted: &SlotRequest, now: Instant) -> PendingRequest {
     let ms = |ms: u32| Duration::from_millis(ms.into());
     PendingRequest {
         key: RequestKey {
@@ -177,28 +177,32 @@
     }
 }
 
-/// The scheduler of a scope; `None` where the configuration has no such model.
-fn find<P: Platform>(core: &Arc<Core<P>>, scope: &Scope) -> Option<Arc<Mutex<Running>>> {
-    let speed = speed(core, scope)?;
+/// The scheduler of a scope, started if there is none; `None` if the configuration has no such
+/// model.
+fn find_or_start<P: Platform>(
+    core: &Arc<Core<P>>,
+    scope: &Scope,
+) -> Option<Arc<Mutex<RunningScheduler>>> {
+    let speed = engine_speed(core, scope)?;
     let mut all = locked(&core.schedulers.running);
     if let Some(running) = all.get(scope) {
         let mut found = locked(running);
-        found.used = Instant::now();
+        found.last_used = Instant::now();
         found.scheduler.set_speed(speed);
         return Some(Arc::clone(running));
     }
     let now = Instant::now();
-    let running = Arc::new(Mutex::new(Running {
+    let running = Arc::new(Mutex::new(RunningScheduler {
         scope: scope.clone(),
         scheduler: Scheduler::new(speed, now),
         unserved: 0,
-        lines: LogRateLimit::default(),
+        log_limit: LogRateLimit::default(),
         askers: HashMap::new(),
         uncollected: HashMap::new(),
-        used: now,
+        last_used: now,
     }));
     all.insert(scope.clone(), Arc::clone(&running));
-    tokio::spawn(recheck(
+    tokio::spawn(recheck_waiting(
         Arc::clone(core),
         scope.clone(),
         Arc::clone(&running),
@@ -206,7 +210,7 @@
     Some(running)
 }
 
-fn speed<P: Platform>(core: &Core<P>, scope: &Scope) -> Option<EngineSpeed> {
+fn engine_speed<P: Platform>(core: &Core<P>, scope: &Scope) -> Option<EngineSpeed> {
     let catalog = core.catalog();
     let (engine, model) = catalog.model(&scope.service, &scope.model)?;
     let pace = Millionths::of(engine.speed.time_factor.get() * model.time_factor.get());
@@ -216,26 +220,30 @@
     })
 }
 
-/// Rechecks waiting requests, until the scheduler is no longer used.
-async fn recheck<P: Platform>(core: Arc<Core<P>>, scope: Scope, running: Arc<Mutex<Running>>) {
+/// Rechecks waiting requests until the scheduler is idle.
+async fn recheck_waiting<P: Platform>(
+    core: Arc<Core<P>>,
+    scope: Scope,
+    running: Arc<Mutex<RunningScheduler>>,
+) {
     loop {
         tokio::time::sleep(RECHECK_INTERVAL).await;
         let now = Instant::now();
         let waits = locked(&running).is_waiting();
         if waits {
-            let heads = heads(&core, &scope);
+            let heads = open_heads(&core, &scope);
             locked(&running).decide(&heads, now);
         }
-        // Under both locks: one that is asked again just now must not be lost with its slots.
+        // Under both locks: a scheduler that is called just now must not be dropped with its slots.
         let mut all = locked(&core.schedulers.running);
-        if now.saturating_duration_since(locked(&running).used) > IDLE_TIMEOUT {
+        if now.saturating_duration_since(locked(&running).last_used) > IDLE_TIMEOUT {
             all.remove(&scope);
             return;
         }
     }
 }
 
-fn heads<P: Platform>(core: &Core<P>, scope: &Scope) -> Vec<OpenHead> {
+fn open_heads<P: Platform>(core: &Core<P>, scope: &Scope) -> Vec<OpenHead> {
     let now = Instant::now();
     let heads = locked(&core.heads);
     let here = |domain: &FailureDomain| scope.heads_in.as_ref().is_none_or(|d| d == domain);
@@ -253,12 +261,12 @@
     open.collect()
 }
 
-impl Running {
+impl RunningScheduler {
     fn is_waiting(&self) -> bool {
         self.scheduler.queue_len() > 0 || !self.uncollected.is_empty()
     }
 
-    fn take(&mut self, node: &NodeId, slot_event: &SlotEvent, now: Instant) {
+    fn on_slot_event(&mut self, node: &NodeId, slot_event: &SlotEvent, now: Instant) {
         let key = RequestKey {
             node: node.clone(),
             number: slot_event.request_number,
@@ -283,7 +291,7 @@
     ) -> oneshot::Receiver<SlotOutcome> {
         let (tx, rx) = oneshot::channel();
         if let Some((outcome, _)) = self.uncollected.remove(&ask.key) {
-            // The receiver is in this very function's hands.
+            // The receiver is still in this function, so this can't fail.
             let _ = tx.send(outcome);
             return rx;
         }
@@ -294,7 +302,7 @@
         rx
     }
 
-    /// Answers what can be decided now.
+    /// Makes the decisions that are possible now and sends them to the pending asks.
     fn decide(&mut self, heads: &[OpenHead], now: Instant) {
         for (key, outcome) in self.scheduler.assign(heads, now) {
             if outcome == SlotOutcome::Full {
@@ -319,7 +327,7 @@
             self.uncollected.remove(&key);
             self.scheduler.release(&key);
         }
-        if self.unserved > 0 && self.lines.is_due(now) {
+        if self.unserved > 0 && self.log_limit.is_due(now) {
             self.log_unserved(heads, now);
         }
     }
@@ -337,8 +345,8 @@
     }
 }
 
-/// The head that a reply names.
-pub(crate) fn granted(reply: &ScheduleReply) -> Option<HeadKey> {
+/// The head that a reply grants.
+pub(crate) fn granted_head(reply: &ScheduleReply) -> Option<HeadKey> {
     let granted = reply.decision() == SlotDecision::Granted;
     granted.then(|| (GroupId::from(reply.replica.as_str()), reply.epoch))
 }
--- a/crates/gateway/src/scheduler_client.rs
+++ b/crates/gateway/src/scheduler_client.rs
@@ -1,6 +1,6 @@
 //! Scheduler client: asks a model's scheduler for a slot at one of the model's heads.
 //!
-//! A model of few replicas has one scheduler; a larger one is sharded by failure domain. Where no
+//! A model with few replicas has one scheduler; a larger one is sharded by failure domain. If no
 //! scheduler answers, the node places the request itself by reported loads.
 
 use std::collections::{BTreeMap, HashMap};
@@ -22,25 +22,25 @@
 
 /// Replicas served by one scheduler shard; larger models are sharded by failure domain.
 const MAX_REPLICAS_PER_SHARD: f64 = 10.0;
-/// How long a scheduler may hold an ask before it answers that the request still waits. A
-/// scheduler that died shows only as an ask without an answer.
+/// How long a scheduler may hold an ask before it replies that the request still waits. A dead
+/// scheduler is detected only by an ask without a reply.
 const RPC_WAIT: Duration = Duration::from_millis(150);
-/// What an answer may take beyond that; shorter than the retransmission of a lost packet.
+/// Allowance for a reply beyond that; shorter than the retransmission of a lost packet.
 const RPC_SLACK: Duration = Duration::from_millis(80);
-/// How long a scheduler that timed out stays ejected: until it counts as dead or is well.
+/// How long a scheduler that timed out stays ejected: by then it counts as dead or has recovered.
 const EJECTION_PERIOD: Duration = Duration::from_secs(2);
-/// Choices of schedulers for a scope. A node that has ejected all of them is likely cut off
-/// itself, and must not become a scheduler that knows of no other node's requests.
+/// Candidate schedulers for a scope. A node that has ejected all of them is likely partitioned
+/// itself and must not become a scheduler that knows of no other node's requests.
 const MAX_SCHEDULER_CHOICES: usize = 2;
-/// How long slot events wait to be sent together.
+/// How long slot events are batched before they are sent.
 const BATCH_DELAY: Duration = Duration::from_millis(5);
-/// Slot events that don't arrive within this are not sent again: their slots expire.
+/// Timeout for sending slot events. Lost events are not resent: their slots expire.
 const SLOT_EVENT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Grants of heads that this node knows to be lost, or doesn't know yet, before it places the
-/// request itself.
+/// Grants of heads that this node knows to be lost, or doesn't know yet, after which it places
+/// the request itself.
 const MAX_STALE_GRANTS: usize = 2;
 
-/// What this node knows of schedulers.
+/// Schedulers ejected by this node, and slot events for them.
 #[derive(Debug, Default)]
 pub(crate) struct SchedulerClient {
     ejected: Mutex<BTreeMap<NodeId, Instant>>,
@@ -48,8 +48,8 @@
     slot_events: Mutex<HashMap<(NodeId, Scope), Vec<SlotEvent>>>,
 }
 
-/// A slot that was asked for or granted. Dropping it releases the slot, also where the caller left
-/// while the request waited.
+/// A slot that was requested or granted. Dropping it releases the slot, also if the caller
+/// disconnected while the request waited.
 pub(crate) struct Permit<P: Platform> {
     core: Arc<Core<P>>,
     node: NodeId,
@@ -68,7 +68,7 @@
 }
 
 impl<P: Platform> Permit<P> {
-    /// Reports the first token.
+    /// Reports that the first token arrived.
     pub(crate) fn started(&self) {
         self.report(SlotEventKind::Started);
     }
@@ -117,7 +117,7 @@
         return;
     }
     let req = request(core, &to.1, None, slot_events);
-    // Events that are lost cost a slot until it expires.
+    // A lost event costs a slot until it expires.
     let _ = send(core, &to.0, req, SLOT_EVENT_TIMEOUT).await;
 }
 
@@ -144,7 +144,7 @@
     }
 }
 
-/// Calls a scheduler, which may be at this node. `None` without an answer.
+/// Calls a scheduler, which may be at this node. `None` if it gives no reply.
 async fn send<P: Platform>(
     core: &Arc<Core<P>>,
     node: &NodeId,
@@ -162,18 +162,18 @@
 pub(crate) enum Acquired<P: Platform> {
     /// A slot was granted.
     Granted(SlotGuard<P>),
-    /// None became free in time.
+    /// No slot became free in time.
     Full,
     /// No scheduler answers.
     NoScheduler,
 }
 
-/// A request that needs a slot.
+/// A request for a slot.
 pub(crate) struct SlotQuery<'w> {
     pub(crate) call: &'w Call,
     pub(crate) service: &'w ServiceName,
     pub(crate) model: &'w ModelName,
-    /// It continues after its replica was lost.
+    /// It resumes after the loss of its replica.
     pub(crate) resumed: bool,
     pub(crate) avoid: &'w [HostId],
     /// When to give up.
@@ -189,8 +189,8 @@
     let mut ejected = 0;
     let mut waiting: Option<Permit<P>> = None;
     loop {
-        // Chosen anew while the request waits: the heads of another failure domain may have room,
-        // and after an ejection another node schedules.
+        // Chosen again at each turn: the heads of another failure domain may have room by now, and
+        // after an ejection another node schedules.
         let Some((scope, node)) = scheduler_for(core, wanted.service, wanted.model) else {
             return Acquired::NoScheduler;
         };
@@ -218,7 +218,7 @@
             SlotDecision::Unknown => return Acquired::NoScheduler,
             SlotDecision::Granted => {}
         }
-        if let Some(head) = usable(core, &reply) {
+        if let Some(head) = usable_head(core, &reply) {
             return Acquired::Granted(head.enter(Some(permit)));
         }
         permit.rejected();
@@ -229,25 +229,25 @@
     }
 }
 
-/// Asks for a slot under the number of `permit`. `None` without an answer.
+/// Asks for a slot under the number of `permit`. `None` if the scheduler gives no reply.
 async fn ask_scheduler<P: Platform>(
     core: &Arc<Core<P>>,
     wanted: &SlotQuery<'_>,
     permit: &Permit<P>,
 ) -> Option<ScheduleReply> {
-    let ask = ask(wanted, permit.number);
+    let ask = slot_request(wanted, permit.number);
     let slot_events = take_slot_events(core, &(permit.node.clone(), permit.scope.clone()));
     let wait = Duration::from_millis(ask.wait_ms.into());
     let req = request(core, &permit.scope, Some(ask), slot_events);
     send(core, &permit.node, req, wait + RPC_SLACK).await
 }
 
-/// The granted head, unless this node doesn't know it or knows that it takes nothing new.
+/// The granted head, unless this node doesn't know it or knows that it takes no new requests.
 ///
-/// A scheduler that is cut off from the store may grant a host that is leaving. Nodes that know
-/// better must not send it anything.
-fn usable<P: Platform>(core: &Core<P>, reply: &ScheduleReply) -> Option<Arc<Head>> {
-    let (replica, epoch) = scheduler::granted(reply)?;
+/// A scheduler without access to the store may grant a host that is leaving. Nodes that know of
+/// that must not send it anything.
+fn usable_head<P: Platform>(core: &Core<P>, reply: &ScheduleReply) -> Option<Arc<Head>> {
+    let (replica, epoch) = scheduler::granted_head(reply)?;
     let heads = locked(&core.heads);
     let head = heads.open(&replica, epoch)?;
     (!head.is_lost()).then(|| Arc::clone(head))
@@ -258,13 +258,13 @@
         core: Arc::clone(core),
         node,
         scope,
-        // Unlike a count it can't be one that this node used before it was started again.
+        // Random, so that numbers from before a restart of this node aren't reused.
         number: fastrand::u64(..),
         is_released: false,
     }
 }
 
-fn ask(wanted: &SlotQuery<'_>, request_number: u64) -> SlotRequest {
+fn slot_request(wanted: &SlotQuery<'_>, request_number: u64) -> SlotRequest {
     let now = Instant::now();
     let ms = |d: Duration| u32::try_from(d.as_millis()).unwrap_or(u32::MAX);
     let call = wanted.call;
@@ -295,9 +295,9 @@
     ejected.insert(node.clone(), now);
 }
 
-/// The scope of a request, and the node that schedules it; `None` where no such node answers.
+/// The scope of a request and the node that schedules it; `None` if no such node answers.
 ///
-/// Models of many replicas have a scope for each failure domain, with a scheduler there.
+/// A model with many replicas has a scope and a scheduler for each failure domain.
 fn scheduler_for<P: Platform>(
     core: &Core<P>,
     service: &ServiceName,
@@ -335,7 +335,7 @@
     Some((scope, node))
 }
 
-/// Whether a model has so many replicas that one scheduler for all would saturate its node.
+/// Whether a model has so many replicas that a single scheduler would saturate its node.
 fn is_sharded<P: Platform>(core: &Core<P>, service: &ServiceName, model: &ModelName) -> bool {
     let catalog = core.catalog();
     let Some((_, spec)) = catalog.model(service, model) else {
@@ -345,7 +345,7 @@
     hosts * spec.share.get() / spec.size.max(1) as f64 > MAX_REPLICAS_PER_SHARD
 }
 
-/// The failure domains in which a model has heads, with their requests and usable slots.
+/// The failure domains in which a model has heads, each with its requests and usable slots.
 fn open_domains<P: Platform>(
     core: &Core<P>,
     service: &ServiceName,
@@ -361,7 +361,7 @@
     domains
 }
 
-/// The node that schedules a scope; `None` while its first choices are all ejected.
+/// The node that schedules a scope; `None` while all its candidates are ejected.
 fn scheduler_of<P: Platform>(core: &Core<P>, scope: &Scope) -> Option<NodeId> {
     let now = Instant::now();
     let nodes = locked(&core.nodes);
@@ -375,8 +375,8 @@
     let near = scope.heads_in.as_ref();
     let ranked = ranked_for_role(&key, near, nodes.alive(now).chain(own));
     let ejected = locked(&core.scheduler_client.ejected);
-    let lately = |at: &Instant| now.saturating_duration_since(*at) < EJECTION_PERIOD;
+    let is_recent = |at: &Instant| now.saturating_duration_since(*at) < EJECTION_PERIOD;
     let mut choices = ranked.into_iter().take(MAX_SCHEDULER_CHOICES);
-    let chosen = choices.find(|id| !ejected.get(*id).is_some_and(lately));
+    let chosen = choices.find(|id| !ejected.get(*id).is_some_and(is_recent));
     chosen.cloned()
 }
