--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -272,7 +272,7 @@
     // Only a scheduler tracks how much load a cold head can take.
     let accepting = open
         .iter()
-        .filter(|h| h.is_due(now) && h.cold(now).is_none());
+        .filter(|h| h.accepts_unscheduled(now) && h.cold(now).is_none());
     let candidates = accepting.map(|h| HostCandidate {
         host: h.host.clone(),
         load: h.load(),
--- a/crates/gateway/src/heads/mod.rs
+++ b/crates/gateway/src/heads/mod.rs
@@ -1,4 +1,4 @@
-//! Heads of replicas that serve, with what this node knows of each.
+//! Heads of serving replicas, with the load and health that this node knows of each.
 
 #[cfg(test)]
 mod tests;
@@ -19,12 +19,11 @@
 use crate::scheduler::ScheduledLoad;
 use crate::scheduler_client::Permit;
 
-/// How long a replica counts as lost. One that really is has been given up by the planner
-/// by then, or its head's entry has lapsed; another is only out of this node's reach, and
-/// may be so no longer.
-const LOSS_MEMORY: Duration = Duration::from_secs(4);
+/// How long a replica counts as lost. If it really is, the planner has given it up by then or its
+/// head's entry has expired; otherwise this node only couldn't reach it, and may reach it again.
+const LOST_HEAD_RETRY_AFTER: Duration = Duration::from_secs(4);
 
-/// The head of one replica in one formation.
+/// The head of a replica in one epoch.
 #[derive(Debug)]
 pub(crate) struct Head {
     pub(crate) host: HostId,
@@ -35,29 +34,28 @@
     pub(crate) replica: GroupId,
     pub(crate) epoch: Epoch,
     pub(crate) slots: usize,
-    /// Requests of this node that it has.
+    /// Requests of this node that run there.
     running: AtomicUsize,
-    /// Those of them that this node placed without a scheduler.
+    /// The subset of them that this node placed without a scheduler.
     unscheduled: AtomicUsize,
     reports: Mutex<LoadReports>,
     progress: Mutex<StreamActivity>,
-    /// What this node, without a scheduler, makes of requests that it rejected or failed.
+    /// Ejection of the head from unscheduled placement after it rejected or failed requests.
     backoff: Mutex<EjectionBackoff>,
-    /// Set where it is or was cold, with the end of that.
+    /// Set if it is or was cold, with the end of its cold phase.
     cold: Mutex<Option<(ColdStart, Instant)>>,
-    /// When a member was known to be lost: nothing will come any more. Taken back by
-    /// [`HeadTable::renew`].
+    /// When a member was found to be lost, after which no events arrive. Reset by
+    /// [`HeadTable::retry_lost`].
     lost: watch::Sender<Option<Instant>>,
 }
 
-/// What nodes reported of a head's load.
+/// Load reports of nodes on one head.
 #[derive(Debug, Default)]
 struct LoadReports {
     /// Requests that each other node placed without a scheduler.
     unscheduled: BTreeMap<NodeId, usize>,
-    /// The newest report of a scheduler: who it is, and what it has assigned. After a change of
-    /// schedulers the former one's report stands until the new one's comes, so that the two
-    /// are never added up.
+    /// The newest report of a scheduler. After a change of schedulers the former one's report stays
+    /// until the new one's arrives, so that the two are never added up.
     assigned: Option<Assigned>,
 }
 
@@ -65,7 +63,7 @@
 struct Assigned {
     by: NodeId,
     requests: usize,
-    /// This head's part of the requests that wait at the scheduler.
+    /// This head's share of the requests that wait at the scheduler.
     queued: usize,
     is_ejected: bool,
     as_of: Instant,
@@ -93,7 +91,7 @@
         })
     }
 
-    /// Requests of this node that it has.
+    /// Requests of this node that run there.
     pub(crate) fn running_here(&self) -> usize {
         self.running.load(Ordering::Relaxed)
     }
@@ -103,30 +101,30 @@
         self.unscheduled.load(Ordering::Relaxed)
     }
 
-    /// Requests of all nodes that it has, as far as they reported.
+    /// Requests of all nodes that run there, by their reports.
     pub(crate) fn load(&self) -> usize {
         self.unscheduled() + self.assigned()
     }
 
-    /// Requests that nodes placed there without a scheduler, as far as they reported.
+    /// Requests that nodes placed there without a scheduler, by their reports.
     pub(crate) fn unscheduled(&self) -> usize {
         let elsewhere: usize = locked(&self.reports).unscheduled.values().sum();
         self.unscheduled_here() + elsewhere
     }
 
-    /// Requests that a scheduler reported to have assigned to it.
+    /// Requests that a scheduler assigned to it, by its report.
     pub(crate) fn assigned(&self) -> usize {
         let reports = locked(&self.reports);
         reports.assigned.as_ref().map_or(0, |a| a.requests)
     }
 
-    /// Requests that wait at its scheduler, counted in equal parts for each head.
+    /// Requests that wait at its scheduler, divided equally among the scheduler's heads.
     pub(crate) fn queued(&self) -> usize {
         let reports = locked(&self.reports);
         reports.assigned.as_ref().map_or(0, |a| a.queued)
     }
 
-    /// Its slots; one while it rejects all requests, by which it is tried again.
+    /// Its slots; one while it is ejected, for probe requests.
     pub(crate) fn usable_slots(&self) -> usize {
         if self.is_ejected() { 1 } else { self.slots }
     }
@@ -137,13 +135,13 @@
         reports.assigned.as_ref().is_some_and(|a| a.is_ejected)
     }
 
-    /// Whether half of its slots are taken, as far as nodes reported.
+    /// Whether half of its slots are taken, by the reports of nodes.
     pub(crate) fn is_half_full(&self) -> bool {
         self.load() * 2 >= self.slots
     }
 
-    /// Takes another node's report of what it placed without a scheduler.
-    pub(crate) fn reported_unscheduled(&self, node: &NodeId, requests: usize) {
+    /// Records another node's report of the requests that it placed without a scheduler.
+    pub(crate) fn report_unscheduled(&self, node: &NodeId, requests: usize) {
         let mut reports = locked(&self.reports);
         if requests == 0 {
             reports.unscheduled.remove(node);
@@ -152,8 +150,9 @@
         }
     }
 
-    /// Takes the report of a scheduler, which may be this node; no load where it schedules nothing.
-    pub(crate) fn reported_assigned(&self, by: &NodeId, load: ScheduledLoad, as_of: Instant) {
+    /// Records the report of a scheduler, which may be this node; an empty load if it schedules
+    /// nothing there.
+    pub(crate) fn report_assigned(&self, by: &NodeId, load: ScheduledLoad, as_of: Instant) {
         let mut reports = locked(&self.reports);
         let known = reports.assigned.as_ref();
         let is_same = known.is_some_and(|a| a.by == *by);
@@ -171,14 +170,14 @@
         }
     }
 
-    /// Forgets the reports of a node that is gone.
-    pub(crate) fn forget(&self, node: &str) {
+    /// Forgets the reports of a node that left or died.
+    pub(crate) fn forget_node(&self, node: &str) {
         let mut reports = locked(&self.reports);
         reports.unscheduled.remove(node);
         reports.assigned.take_if(|a| a.by == node);
     }
 
-    /// Counts one more request, until the guard is dropped.
+    /// Counts one more request until the guard is dropped.
     pub(crate) fn enter<P: Platform>(self: &Arc<Head>, permit: Option<Permit<P>>) -> SlotGuard<P> {
         if self.running.fetch_add(1, Ordering::Relaxed) == 0 {
             self.progress().on_work_resumed(Instant::now());
@@ -191,7 +190,7 @@
             head: Arc::clone(self),
             permit,
             sent: Instant::now(),
-            has_begun: false,
+            has_started: false,
         }
     }
 
@@ -199,7 +198,7 @@
         locked(&self.progress)
     }
 
-    /// Says that nothing will come of it any more.
+    /// Marks its replica as lost: no more events will arrive from it.
     pub(crate) fn set_lost(&self) {
         self.lost.send_if_modified(|lost| {
             let first = lost.is_none();
@@ -208,19 +207,19 @@
         });
     }
 
-    /// What holds for it while it is cold; `None` while it isn't.
+    /// Its cold start limits; `None` while it isn't cold.
     pub(crate) fn cold(&self, now: Instant) -> Option<ColdStart> {
         let cold = *locked(&self.cold);
         cold.filter(|(_, until)| now < *until).map(|(cold, _)| cold)
     }
 
-    /// Ejects it for a while from what this node places by itself.
+    /// Ejects it for a while from unscheduled placement at this node.
     fn eject(&self, sent: Instant) {
         locked(&self.backoff).eject(sent, Instant::now());
     }
 
-    /// Whether this node may place a request there by itself.
-    pub(crate) fn is_due(&self, now: Instant) -> bool {
+    /// Whether this node may place a request there without a scheduler.
+    pub(crate) fn accepts_unscheduled(&self, now: Instant) -> bool {
         locked(&self.backoff).is_due(now)
     }
 
@@ -228,45 +227,45 @@
         self.lost.borrow().is_some()
     }
 
-    fn was_lost_long_ago(&self, now: Instant) -> bool {
-        let long_ago = |at: Instant| now.saturating_duration_since(at) >= LOSS_MEMORY;
-        self.lost.borrow().is_some_and(long_ago)
+    fn may_retry_lost(&self, now: Instant) -> bool {
+        let is_expired = |at: Instant| now.saturating_duration_since(at) >= LOST_HEAD_RETRY_AFTER;
+        self.lost.borrow().is_some_and(is_expired)
     }
 
     /// Waits until it is lost.
     pub(crate) async fn wait_until_lost(&self) {
         let mut rx = self.lost.subscribe();
-        // The sender lives as long as `self`, so this ends only by the value.
+        // The sender lives as long as `self`, so the channel can't close before the value is set.
         let _ = rx.wait_for(Option::is_some).await;
     }
 }
 
-/// A request that counts at a head.
+/// A request's slot at a head; the head counts it until this is dropped.
 pub(crate) struct SlotGuard<P: Platform> {
     pub(crate) head: Arc<Head>,
-    /// `None` where it was placed without a scheduler.
+    /// `None` if it was placed without a scheduler.
     permit: Option<Permit<P>>,
     is_scheduled: bool,
     sent: Instant,
-    /// Whether its first event has come.
-    has_begun: bool,
+    /// Whether its first event has arrived.
+    has_started: bool,
 }
 
 impl<P: Platform> SlotGuard<P> {
-    /// Notes that its first event has come.
-    pub(crate) fn began(&mut self) {
-        self.has_begun = true;
+    /// Records that its first event has arrived.
+    pub(crate) fn on_first_event(&mut self) {
+        self.has_started = true;
         locked(&self.head.backoff).accepted(self.sent);
         if let Some(permit) = &self.permit {
             permit.started();
         }
     }
 
-    pub(crate) fn has_begun(&self) -> bool {
-        self.has_begun
+    pub(crate) fn has_started(&self) -> bool {
+        self.has_started
     }
 
-    /// Notes that the head rejected it.
+    /// Records that the head rejected it.
     pub(crate) fn rejected(&mut self) {
         self.head.eject(self.sent);
         if let Some(permit) = self.permit.take() {
@@ -274,7 +273,7 @@
         }
     }
 
-    /// Notes that the head failed it before its first event.
+    /// Records that the head failed it before its first event.
     pub(crate) fn failed(&mut self) {
         self.head.eject(self.sent);
         if let Some(permit) = self.permit.take() {
@@ -292,20 +291,20 @@
     }
 }
 
-/// The heads that serve, and those that still finish something.
+/// The heads that take requests, and those that are draining.
 #[derive(Debug, Default)]
 pub(crate) struct HeadTable {
-    /// Invariant: each head reported to be open, and the planner opens only whole replicas. None is
-    /// in an evacuated failure domain.
+    /// Invariant: each head reported that it is open, and the planner opens only complete replicas.
+    /// None is in an evacuated failure domain.
     open: BTreeMap<HeadKey, Arc<Head>>,
-    /// Heads that take nothing new but still run requests of this node.
-    ending: BTreeMap<HeadKey, Arc<Head>>,
-    /// How many hosts each service has.
+    /// Heads that take no new requests but still run some of this node.
+    draining: BTreeMap<HeadKey, Arc<Head>>,
+    /// Number of hosts by service.
     hosts: BTreeMap<ServiceName, usize>,
 }
 
 impl HeadTable {
-    /// Takes over what hosts report.
+    /// Rebuilds the table from the host list.
     pub(crate) fn update(&mut self, fleet: &Fleet, catalog: &Catalog) {
         self.hosts.clear();
         for host in fleet.hosts() {
@@ -320,7 +319,10 @@
                 continue;
             };
             let key = (m.replica.clone(), m.epoch);
-            let known = self.open.remove(&key).or_else(|| self.ending.remove(&key));
+            let known = self
+                .open
+                .remove(&key)
+                .or_else(|| self.draining.remove(&key));
             let head = known.or_else(|| Head::new(host, model.clone()).map(Arc::new));
             if let Some(head) = head {
                 let cold = catalog.service(&host.service).and_then(|s| s.cold);
@@ -330,19 +332,19 @@
             }
         }
         let closed = std::mem::replace(&mut self.open, open);
-        self.ending.extend(closed);
-        self.ending.retain(|_, head| head.running_here() > 0);
+        self.draining.extend(closed);
+        self.draining.retain(|_, head| head.running_here() > 0);
     }
 
-    /// Tries heads again that were lost long ago and still serve by their entries. Nothing
-    /// runs at them any more: what did has gone on elsewhere when they were lost.
-    pub(crate) fn renew(&self, now: Instant) {
-        for head in self.open.values().filter(|h| h.was_lost_long_ago(now)) {
+    /// Makes heads available again that were lost [`LOST_HEAD_RETRY_AFTER`] ago and still serve by
+    /// their entries. No requests run at them: those moved to other heads at the loss.
+    pub(crate) fn retry_lost(&self, now: Instant) {
+        for head in self.open.values().filter(|h| h.may_retry_lost(now)) {
             head.lost.send_replace(None);
         }
     }
 
-    /// How many hosts a service has.
+    /// Number of hosts of a service.
     pub(crate) fn hosts_of(&self, service: &str) -> usize {
         self.hosts.get(service).copied().unwrap_or_default()
     }
@@ -357,24 +359,24 @@
         self.open.values().filter(takes)
     }
 
-    /// All heads that have anything to do with this node.
+    /// All heads, open or draining.
     pub(crate) fn all(&self) -> impl Iterator<Item = &Arc<Head>> {
-        self.open.values().chain(self.ending.values())
+        self.open.values().chain(self.draining.values())
     }
 
-    /// The head of a formation, if it takes requests.
+    /// The head of a replica's epoch, if it takes requests.
     pub(crate) fn open(&self, replica: &str, epoch: Epoch) -> Option<&Arc<Head>> {
         self.open.get(&(replica.into(), epoch))
     }
 
-    /// The head of a formation.
+    /// The head of a replica's epoch, open or draining.
     pub(crate) fn get(&self, replica: &str, epoch: Epoch) -> Option<&Arc<Head>> {
         let key = (replica.into(), epoch);
-        self.open.get(&key).or_else(|| self.ending.get(&key))
+        self.open.get(&key).or_else(|| self.draining.get(&key))
     }
 }
 
-/// Locks a mutex whose holder may have panicked: each holder leaves the value usable.
+/// Locks a mutex, ignoring poison: no holder leaves the value inconsistent if it panics.
 pub(crate) fn locked<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/gateway/src/heads/tests.rs
+++ b/crates/gateway/src/heads/tests.rs
@@ -35,43 +35,43 @@
             phase: MembershipPhase::Open,
         }),
     };
-    Head::new(&host, "large".into()).expect("it is a head")
+    Head::new(&host, "large".into()).expect("the host has a membership")
 }
 
-/// Guards against a head that looks full after its scheduler was replaced, since the reports of
+/// Guards against a head that looks full after its scheduler was replaced because the reports of
 /// both were added up.
 #[gtest]
-fn the_newest_scheduler_replaces_the_report_of_the_one_before() {
+fn a_new_schedulers_report_replaces_the_former_ones() {
     let head = head();
     let now = Instant::now();
     let (former, successor): (NodeId, NodeId) = ("n1".into(), "n2".into());
-    head.reported_assigned(&former, assigned(9), now);
-    head.reported_assigned(&successor, assigned(4), now + Duration::from_secs(1));
+    head.report_assigned(&former, assigned(9), now);
+    head.report_assigned(&successor, assigned(4), now + Duration::from_secs(1));
     expect_that!(head.load(), eq(4));
-    // A report of before the change comes late.
-    head.reported_assigned(&former, assigned(9), now);
+    // A report from before the change arrives late.
+    head.report_assigned(&former, assigned(9), now);
     expect_that!(head.load(), eq(4));
-    head.reported_assigned(&former, assigned(0), now + Duration::from_secs(2));
+    head.report_assigned(&former, assigned(0), now + Duration::from_secs(2));
     expect_that!(head.load(), eq(4));
-    head.forget(&successor);
+    head.forget_node(&successor);
     expect_that!(head.load(), eq(0));
 }
 
 #[gtest]
-fn requests_placed_without_a_scheduler_count_beside_its_own() {
+fn unscheduled_requests_add_to_scheduled_ones() {
     let head = head();
     let now = Instant::now();
-    head.reported_assigned(&"n1".into(), assigned(5), now);
-    head.reported_unscheduled(&"n2".into(), 2);
-    head.reported_unscheduled(&"n3".into(), 1);
+    head.report_assigned(&"n1".into(), assigned(5), now);
+    head.report_unscheduled(&"n2".into(), 2);
+    head.report_unscheduled(&"n3".into(), 1);
     expect_that!(head.load(), eq(8));
-    head.reported_unscheduled(&"n2".into(), 0);
+    head.report_unscheduled(&"n2".into(), 0);
     expect_that!(head.load(), eq(6));
 }
 
-/// Guards against a failure domain whose heads all reject their requests looking like an idle one.
+/// Guards against choosing a failure domain as idle while its heads reject all requests.
 #[gtest]
-fn a_head_that_rejects_all_requests_counts_with_the_one_slot_that_it_is_tried_by() {
+fn an_ejected_head_counts_with_one_slot() {
     let head = head();
     let now = Instant::now();
     let scheduler = NodeId::from("n1");
@@ -80,8 +80,8 @@
         ..assigned(0)
     };
     expect_that!(head.usable_slots(), eq(13));
-    head.reported_assigned(&scheduler, rejecting, now);
+    head.report_assigned(&scheduler, rejecting, now);
     expect_that!(head.usable_slots(), eq(1));
-    head.reported_assigned(&scheduler, assigned(0), now + Duration::from_secs(1));
+    head.report_assigned(&scheduler, assigned(0), now + Duration::from_secs(1));
     expect_that!(head.usable_slots(), eq(13));
 }
--- a/crates/gateway/src/loss_detection.rs
+++ b/crates/gateway/src/loss_detection.rs
@@ -54,7 +54,7 @@
         // While the store is away entries of dead heads stand: each try would cost streams.
         if core.store_failures() == 0 && due >= renew_at {
             renew_at = due + RENEW_INTERVAL;
-            locked(&core.heads).renew(Instant::now());
+            locked(&core.heads).retry_lost(Instant::now());
         }
         for head in standing_still(&core, &rule) {
             // The next look must not begin a second check beside this one.
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -106,13 +106,13 @@
     fn load(&self, origin: &NodeId, load: &GroupLoad, as_of: Instant) {
         let heads = locked(&self.core.heads);
         if let Some(head) = heads.get(&load.group, load.epoch) {
-            head.reported_unscheduled(origin, load.running as usize);
+            head.report_unscheduled(origin, load.running as usize);
             let scheduled = ScheduledLoad {
                 assigned: load.assigned as usize,
                 queued: load.waiting as usize,
                 is_ejected: load.ejected,
             };
-            head.reported_assigned(origin, scheduled, as_of);
+            head.report_assigned(origin, scheduled, as_of);
         }
     }
 
@@ -120,7 +120,7 @@
     fn no_load(&self, origin: &NodeId, replica: &str) {
         let heads = locked(&self.core.heads);
         for head in heads.all().filter(|h| h.replica == replica) {
-            head.forget(origin);
+            head.forget_node(origin);
         }
     }
 
@@ -130,7 +130,7 @@
         self.core.configuration.forget(origin);
         self.core.schedulers.forget_node(origin);
         for head in locked(&self.core.heads).all() {
-            head.forget(origin);
+            head.forget_node(origin);
         }
         if self.core.is_planner() {
             info!(event = "node", node = %origin, state = "not heard from");
@@ -276,7 +276,7 @@
     let loads = heads.all().map(|head| {
         let key = (head.replica.clone(), head.epoch);
         let load = scheduled.get(&key).copied().unwrap_or_default();
-        head.reported_assigned(&core.cfg.node, load, now);
+        head.report_assigned(&core.cfg.node, load, now);
         GroupLoad {
             group: key.0,
             epoch: key.1,
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -258,7 +258,7 @@
         self.avoid.push(slot.head.host.clone());
         // The end of the call's time, or a member that was lost, says nothing of the head.
         let is_heads_fault = !self.call.left().is_zero() && !slot.head.is_lost();
-        if is_heads_fault && !slot.has_begun() {
+        if is_heads_fault && !slot.has_started() {
             slot.failed();
         }
         self.runs += 1;
@@ -368,7 +368,7 @@
             head.progress().on_event(Instant::now());
             if !began {
                 began = true;
-                started.slot.began();
+                started.slot.on_first_event();
             }
             let Some(events) = self.events.push(&bytes) else {
                 continue;
