--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -1,9 +1,9 @@
-//! Which node plans.
+//! Leader election of the planner.
 //!
-//! The leader is named by a row of the platform's store, which also counts its terms.
-//! Nodes hear from the holder directly; one takes over when the holder is no longer
-//! heard. No renewal is written: a holder reads the row again and again, and acts only
-//! while its [`Lease`] holds, which a successor waits out.
+//! A row of the platform's store names the leader and counts its terms. The leader announces
+//! itself to the other nodes directly, and one of them takes over when the announcements stop.
+//! Renewals are not written: the leader rereads the row periodically and acts only while its
+//! [`Lease`] is valid, and a successor waits until that has expired.
 
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -16,21 +16,21 @@
 use crate::core::Core;
 use crate::heads::locked;
 use crate::peers::publish_leader;
-use crate::planning::Term;
+use crate::planning::PlannerTerm;
 use crate::ports::{LeaderElection, LeaderRecord, Platform};
 
-/// How often a node that isn't the leader checks whether there is none.
+/// How often a node that isn't the leader checks whether there is a leader.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
-/// A holder that was named lately is given this long to be heard of: nodes that start
-/// together hear of each other within a second.
-const INTRODUCTION: Duration = Duration::from_millis(2500);
-/// A node doesn't claim the lease for this long after its start: nodes that start together know of
-/// each other then.
+/// How long a node waits for the announcement of a holder that it has just read from the row:
+/// nodes that start together discover each other within a second.
+const HOLDER_DISCOVERY_TIME: Duration = Duration::from_millis(2500);
+/// A node doesn't claim the lease for this long after its start: by then nodes that start together
+/// have discovered each other.
 const START_DELAY: Duration = Duration::from_millis(1500);
-/// How often a leader reads the row that names it: twice in a lease.
+/// How often a leader rereads the row that names it: twice per lease.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(700);
 
-/// The time since the machine started, also while it was suspended.
+/// The time since the machine booted, including time in suspend.
 fn since_boot() -> SinceBoot {
     let now = clock_gettime(ClockId::Boottime);
     let seconds = u64::try_from(now.tv_sec).unwrap_or_default();
@@ -38,22 +38,23 @@
     Duration::new(seconds, nanos)
 }
 
-/// What a node has read of the leader's row.
+/// The leader's row as this node last read it.
 #[derive(Debug, Default)]
-struct Seen {
-    /// The record that was read last, and when it was first seen.
+struct ObservedRecord {
+    /// The record that was read last, and when this node first read it.
     record: Option<(LeaderRecord, Instant)>,
 }
 
-/// Plans while this node is the leader, until the process ends.
+/// Campaigns for the leader role and runs the planner while this node has it, until the process
+/// ends.
 pub(crate) async fn run<P: Platform>(core: Arc<Core<P>>) {
-    let mut seen = Seen::default();
+    let mut observed = ObservedRecord::default();
     loop {
-        let asked = since_boot();
-        if let Some(leader) = try_take(&core, &mut seen).await {
+        let read_at = since_boot();
+        if let Some(leader) = try_acquire(&core, &mut observed).await {
             info!(event = "leader", term = leader.term, outcome = "taken");
             publish_leader(&core, Some(&leader));
-            hold(&core, &leader, Lease::new(asked)).await;
+            lead(&core, &leader, Lease::new(read_at)).await;
             publish_leader(&core, None);
             info!(event = "leader", term = leader.term, outcome = "given-up");
         }
@@ -61,31 +62,36 @@
     }
 }
 
-async fn try_take<P: Platform>(core: &Arc<Core<P>>, seen: &mut Seen) -> Option<LeaderRecord> {
+async fn try_acquire<P: Platform>(
+    core: &Arc<Core<P>>,
+    observed: &mut ObservedRecord,
+) -> Option<LeaderRecord> {
     let now = Instant::now();
     if core.is_leaving() || !core.is_loaded() || core.store_failures() > 0 {
         return None;
     }
     if let Some(holder) = current(core, now) {
-        // It needs no introduction should it fall silent.
-        seen.record = now.checked_sub(INTRODUCTION).map(|since| (holder, since));
+        // If it falls silent, no time is needed to discover it.
+        observed.record = now
+            .checked_sub(HOLDER_DISCOVERY_TIME)
+            .map(|since| (holder, since));
         return None;
     }
-    // A node that has just started may not have heard of the one that should lead, and a change of
-    // leaders costs the seconds in which loads are quick.
+    // A node that has just started may not have discovered the one that should lead, and a change
+    // of leaders would take up the seconds in which model loads are fast.
     if core.started_at.elapsed() < START_DELAY {
         return None;
     }
-    // Where most others aren't heard the holder may be one of them, and act on by what it
+    // If most other nodes aren't heard, the holder may be one of them and still act on what it
     // hears from the rest.
-    if !is_first(core, now) || !locked(&core.nodes).hears_most(now) {
+    if !should_lead(core, now) || !locked(&core.nodes).hears_most(now) {
         return None;
     }
-    // A holder that was named lately may not have been heard yet.
-    let introduced = seen.record.as_ref().is_some_and(|(record, since)| {
-        record.node != core.cfg.node && now.duration_since(*since) < INTRODUCTION
+    // The announcement of a holder that was read just now may not have arrived yet.
+    let awaits_holder = observed.record.as_ref().is_some_and(|(record, since)| {
+        record.node != core.cfg.node && now.duration_since(*since) < HOLDER_DISCOVERY_TIME
     });
-    if introduced {
+    if awaits_holder {
         return None;
     }
     let read = core.platform.leader().read().await;
@@ -96,7 +102,7 @@
             return None;
         }
     };
-    if seen.is_new(record.as_ref(), &core.cfg.node, now) {
+    if observed.is_new_holder(record.as_ref(), &core.cfg.node, now) {
         return None;
     }
     let term = record.map_or(0, |r| r.term) + 1;
@@ -108,16 +114,16 @@
         Ok(true) => Some(claim),
         Ok(false) => None,
         Err(err) => {
-            // It may have been written all the same; the next read shows it.
+            // The write may have succeeded; the next read shows it.
             warn!(event = "leader", outcome = "unknown", %err);
             None
         }
     }
 }
 
-impl Seen {
-    /// Notes what was read. Whether it names another node that has to be waited for.
-    fn is_new(&mut self, record: Option<&LeaderRecord>, me: &str, now: Instant) -> bool {
+impl ObservedRecord {
+    /// Records what was read. Returns whether it newly names another node, which has to be awaited.
+    fn is_new_holder(&mut self, record: Option<&LeaderRecord>, me: &str, now: Instant) -> bool {
         let Some(record) = record.filter(|r| r.node != me) else {
             return false;
         };
@@ -133,7 +139,7 @@
     }
 }
 
-/// The node, this one or one that is up, that says that it is the leader.
+/// The leader: the node with the highest term among this one and those that are up.
 pub(crate) fn current<P: Platform>(core: &Core<P>, now: Instant) -> Option<LeaderRecord> {
     let me = &core.cfg.node;
     let nodes = locked(&core.nodes);
@@ -147,48 +153,52 @@
     })
 }
 
-/// Whether this node is the first by name of the strongest that are up, which alone takes the
-/// leader.
-fn is_first<P: Platform>(core: &Core<P>, now: Instant) -> bool {
+/// Whether this node is the first by name among the strongest that are up. Only that one claims
+/// the leader role.
+fn should_lead<P: Platform>(core: &Core<P>, now: Instant) -> bool {
     let nodes = locked(&core.nodes);
     let able = strongest(nodes.alive(now).chain([core.as_candidate()]));
     able.iter().map(|c| c.id).min() == Some(&core.cfg.node)
 }
 
-/// Plans until another node is the leader, or may be.
-async fn hold<P: Platform>(core: &Arc<Core<P>>, leader: &LeaderRecord, lease: Lease) {
+/// Runs the planner until another node is the leader or may be.
+async fn lead<P: Platform>(core: &Arc<Core<P>>, leader: &LeaderRecord, lease: Lease) {
     let lease = Mutex::new(lease);
     tokio::select! {
         () = confirm(core, leader, &lease) => {}
-        () = plan(core, leader, &lease) => {}
+        () = run_planner(core, leader, &lease) => {}
     }
 }
 
-/// Reads the row until it names another holder.
+/// Rereads the row until it names another holder.
 async fn confirm<P: Platform>(core: &Core<P>, leader: &LeaderRecord, lease: &Mutex<Lease>) {
     let mut answered = true;
     loop {
         tokio::time::sleep(CONFIRM_INTERVAL).await;
-        let asked = since_boot();
+        let read_at = since_boot();
         let read = core.platform.leader().read().await;
         match &read {
-            Ok((Some(record), _)) if record == leader => locked(lease).confirm(asked),
+            Ok((Some(record), _)) if record == leader => locked(lease).confirm(read_at),
             Ok(_) => return,
             Err(err) if answered => {
                 warn!(event = "leader", term = leader.term, outcome = "not-confirmed", %err);
             }
-            // Told when it began.
+            // Logged at the first of consecutive failures.
             Err(_) => {}
         }
         answered = read.is_ok();
     }
 }
 
-async fn plan<P: Platform>(core: &Arc<Core<P>>, leader: &LeaderRecord, lease: &Mutex<Lease>) {
-    let mut term = Term::new(Arc::clone(core), leader);
+async fn run_planner<P: Platform>(
+    core: &Arc<Core<P>>,
+    leader: &LeaderRecord,
+    lease: &Mutex<Lease>,
+) {
+    let mut term = PlannerTerm::new(Arc::clone(core), leader);
     let mut last = LeaseStatus::Act;
     loop {
-        if core.is_leaving() || another_holds(core, leader) {
+        if core.is_leaving() || higher_term_exists(core, leader) {
             return;
         }
         let heard = hears_majority(locked(&core.nodes).silences(Instant::now()));
@@ -213,7 +223,7 @@
 }
 
 /// Whether another node reports a higher term.
-fn another_holds<P: Platform>(core: &Core<P>, leader: &LeaderRecord) -> bool {
+fn higher_term_exists<P: Platform>(core: &Core<P>, leader: &LeaderRecord) -> bool {
     locked(&core.leaders)
         .values()
         .any(|term| *term > leader.term)
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -1,4 +1,4 @@
-//! Running the planner while this node is the leader.
+//! Runs the planner while this node is the leader.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,81 +16,82 @@
 use crate::loss_detection::{LostReplica, REPORT_TIMEOUT};
 use crate::ports::{HostControl, HostReport, HostUnavailable, LeaderRecord, Platform};
 
-/// The planner looks at everything at least this often: its shortest own time is the
-/// 120 ms between two questions to a host.
-const STEP: Duration = Duration::from_millis(60);
-/// Pause after a step, in times of what it took. Answers to orders come one by one, by the
-/// hundred: a step for each would leave callers' requests no processor at this node.
-const PAUSE_PER_STEP: u32 = 4;
-/// An order without an answer for this long counts as unanswered. Answers take 1 to 5 ms.
+/// Longest time between two steps of the planner: its shortest own interval is the 120 ms between
+/// two report requests to a host.
+const MAX_STEP_INTERVAL: Duration = Duration::from_millis(60);
+/// Pause after a step, in multiples of the step's duration. Replies to orders arrive one by one, by
+/// the hundred: a step for each would leave callers' requests no CPU at this node.
+const PAUSE_PER_STEP_TIME: u32 = 4;
+/// Timeout of an order. Replies take 1 to 5 ms.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(350);
-/// Until then the first loads of a system that starts for the first time are quick.
-const COLD_TIME: Duration = Duration::from_secs(12);
+/// How long after the first start of the whole system the first model loads are fast.
+const COLD_START_PERIOD: Duration = Duration::from_secs(12);
 
-/// What the planner should know.
+/// An input of the planner.
 #[derive(Debug)]
 pub(crate) enum PlanningEvent {
     /// A replica lost a member.
     Lost(LostReplica),
-    /// What became of an order.
+    /// The result of an order.
     Reply(HostId, Order, Result<OrderReply, HostUnavailable>),
-    /// What became of a question.
+    /// The result of a report request.
     Report(HostId, Result<HostReport, HostUnavailable>),
 }
 
-/// One term of the planner, from becoming the leader until that is given up or lost.
-pub(crate) struct Term<P: Platform> {
+/// One term of the planner, from acquiring the leader role until it is given up or lost.
+pub(crate) struct PlannerTerm<P: Platform> {
     core: Arc<Core<P>>,
     planner: Planner,
-    /// How long the last step took.
-    last_step: Duration,
-    /// How far each replica was when it was last noted.
-    noted: BTreeMap<GroupId, FormationPhase>,
+    /// Duration of the last step.
+    last_step_time: Duration,
+    /// The step at which each replica was last logged.
+    logged_steps: BTreeMap<GroupId, FormationPhase>,
 }
 
-impl<P: Platform> Drop for Term<P> {
+impl<P: Platform> Drop for PlannerTerm<P> {
     fn drop(&mut self) {
         self.core.planning.close();
     }
 }
 
-impl<P: Platform> Term<P> {
-    pub(crate) fn new(core: Arc<Core<P>>, leader: &LeaderRecord) -> Term<P> {
+impl<P: Platform> PlannerTerm<P> {
+    pub(crate) fn new(core: Arc<Core<P>>, leader: &LeaderRecord) -> PlannerTerm<P> {
         core.planning.open();
         let planner = Planner::new(leader.term, PlannerTiming::default(), Instant::now());
-        Term {
+        PlannerTerm {
             core,
             planner,
-            last_step: Duration::ZERO,
-            noted: BTreeMap::new(),
+            last_step_time: Duration::ZERO,
+            logged_steps: BTreeMap::new(),
         }
     }
 
-    /// Waits until there may be something to decide.
+    /// Waits for new input or the next regular step.
     pub(crate) async fn wait(&self) {
-        tokio::time::sleep(self.last_step * PAUSE_PER_STEP).await;
-        // Running out is the other way to look again.
-        let _ = tokio::time::timeout(STEP, self.core.planning.changed()).await;
+        tokio::time::sleep(self.last_step_time * PAUSE_PER_STEP_TIME).await;
+        // A timeout is the regular step.
+        let _ = tokio::time::timeout(MAX_STEP_INTERVAL, self.core.planning.changed()).await;
     }
 
-    /// Takes in what happened, decides, and starts to carry it out.
+    /// Processes the inputs, decides, and starts to execute the commands.
     pub(crate) fn step(&mut self) {
         let began = Instant::now();
         self.decide(began);
-        self.last_step = began.elapsed().min(STEP);
+        self.last_step_time = began.elapsed().min(MAX_STEP_INTERVAL);
     }
 
     fn decide(&mut self, now: Instant) {
         for event in self.core.planning.take() {
-            self.take(event, now);
+            self.on_event(event, now);
         }
-        self.take_lost_heads(now);
-        self.take_rejecting_heads(now);
+        self.report_lost_heads(now);
+        self.report_rejecting_heads(now);
         let catalog = self.core.catalog();
         let services: Vec<&Service> = catalog.services().collect();
         let core = &self.core;
-        let cold =
-            core.cfg.first_start && !core.has_served() && core.started_at.elapsed() < COLD_TIME;
+        let cold = core.cfg.first_start
+            && !core.has_served()
+            && core.started_at.elapsed() < COLD_START_PERIOD;
         let commands = {
             let fleet = locked(&core.fleet);
             if !fleet.is_loaded() {
@@ -106,18 +107,18 @@
         core.metrics
             .open_replicas
             .set(i64::try_from(open).unwrap_or(i64::MAX));
-        self.note_formations();
+        self.log_formations();
         for command in commands {
-            self.carry_out(command);
+            self.execute(command);
         }
     }
 
-    /// Notes how far the replicas are that serve or are to serve, and why one is given up: the
-    /// orders alone don't say what they are for.
-    fn note_formations(&mut self) {
+    /// Logs each step of the replicas that serve or will serve, and why one is given up: the log
+    /// lines on orders don't show their purpose.
+    fn log_formations(&mut self) {
         let serving = |f: &&Formation| f.purpose == Purpose::Serve;
         for f in self.planner.formations().filter(serving) {
-            if self.noted.get(&f.id) == Some(&f.phase) {
+            if self.logged_steps.get(&f.id) == Some(&f.phase) {
                 continue;
             }
             let why = f.loss.as_ref().map(|loss| format!("{loss:?}"));
@@ -128,15 +129,15 @@
             );
         }
         let formations = self.planner.formations().filter(serving);
-        self.noted = formations.map(|f| (f.id.clone(), f.phase)).collect();
+        self.logged_steps = formations.map(|f| (f.id.clone(), f.phase)).collect();
     }
 
     /// Gives up replicas that are known here to be lost.
     ///
-    /// ListUpdate of a loss that comes before this planner knows the replica, or while nobody
-    /// plans, is gone as an event. The planner would find the silent member only by asking
-    /// all hosts: 2.4 s later in the test of a loss while nobody plans (one run each).
-    fn take_lost_heads(&mut self, now: Instant) {
+    /// A loss that is reported before this planner knows the replica, or while no node leads, is
+    /// missed as an event. The planner would find the silent member only by asking all hosts, in a
+    /// test of a loss without a leader 2.4 s later.
+    fn report_lost_heads(&mut self, now: Instant) {
         let heads = locked(&self.core.heads);
         for head in heads.all().filter(|h| h.is_lost()) {
             self.planner
@@ -144,15 +145,15 @@
         }
     }
 
-    /// Tells the planner of heads that reject requests and have room.
-    fn take_rejecting_heads(&mut self, now: Instant) {
+    /// Reports heads to the planner that reject requests though they have room.
+    fn report_rejecting_heads(&mut self, now: Instant) {
         let heads = locked(&self.core.heads);
         for head in heads.all().filter(|h| h.is_ejected() && !h.is_half_full()) {
             self.planner.on_head_rejecting(&head.host, now);
         }
     }
 
-    fn take(&mut self, event: PlanningEvent, now: Instant) {
+    fn on_event(&mut self, event: PlanningEvent, now: Instant) {
         match event {
             PlanningEvent::Lost(lost) => {
                 let fleet = locked(&self.core.fleet);
@@ -182,9 +183,9 @@
             PlanningEvent::Report(host, Ok(report)) => {
                 let mut fleet = locked(&self.core.fleet);
                 if let Some(known) = fleet.host(&host).cloned() {
-                    let told = updated(known, report);
-                    if self.planner.on_report(&told, &fleet, now) {
-                        fleet.apply_report(told);
+                    let reported = merge_report(known, report);
+                    if self.planner.on_report(&reported, &fleet, now) {
+                        fleet.apply_report(reported);
                     } else {
                         info!(event = "host-entry", %host, outcome = "another-answers");
                     }
@@ -197,7 +198,7 @@
         }
     }
 
-    fn carry_out(&self, command: Command) {
+    fn execute(&self, command: Command) {
         let core = Arc::clone(&self.core);
         let address = match &command {
             Command::Order { address, .. } => Some(address.clone()),
@@ -209,7 +210,7 @@
             let event = match command {
                 Command::Order { host, order, .. } => {
                     let reply = control.order(&host, &address, &order, ORDER_TIMEOUT).await;
-                    note(&core, &host, &order, &reply);
+                    record_order(&core, &host, &order, &reply);
                     PlanningEvent::Reply(host, order, reply)
                 }
                 Command::Query { host } => {
@@ -222,7 +223,7 @@
     }
 }
 
-fn updated(known: Host, report: HostReport) -> Host {
+fn merge_report(known: Host, report: HostReport) -> Host {
     let born_ms = if report.born_ms > 0 {
         report.born_ms
     } else {
@@ -236,7 +237,7 @@
     }
 }
 
-fn note<P: Platform>(
+fn record_order<P: Platform>(
     core: &Core<P>,
     host: &HostId,
     order: &Order,
