--- a/crates/gateway/src/inbox/mod.rs
+++ b/crates/gateway/src/inbox/mod.rs
@@ -1,4 +1,4 @@
-//! What the planner should know, kept only while this node has one.
+//! Event queue of the planner, which keeps events only while this node runs one.
 
 #[cfg(test)]
 mod tests;
@@ -9,13 +9,13 @@
 
 use crate::heads::locked;
 
-/// Events for a reader that comes and goes.
+/// An event queue that drops events while it has no reader.
 ///
-/// Every node hears of each lost replica, but only one plans. Kept for a reader that may
-/// never come, the events of days would fill the memory of all the others.
+/// Every node learns of each lost replica, but only the leader runs the planner. At the other
+/// nodes, events kept for a reader that may never come would grow without bound.
 #[derive(Debug)]
 pub(crate) struct Inbox<E> {
-    /// `None` while nobody reads.
+    /// `None` while there is no reader.
     events: Mutex<Option<Vec<E>>>,
     changed: Notify,
 }
@@ -30,17 +30,17 @@
 }
 
 impl<E> Inbox<E> {
-    /// Begins to keep events, from now on.
+    /// Starts to keep events.
     pub(crate) fn open(&self) {
         *locked(&self.events) = Some(Vec::new());
     }
 
-    /// Drops what is kept, and keeps nothing more.
+    /// Drops all events and stops keeping new ones.
     pub(crate) fn close(&self) {
         *locked(&self.events) = None;
     }
 
-    /// Keeps an event if somebody reads.
+    /// Queues an event if there is a reader, and wakes it.
     pub(crate) fn push(&self, event: E) {
         if let Some(events) = locked(&self.events).as_mut() {
             events.push(event);
@@ -48,18 +48,18 @@
         self.wake();
     }
 
-    /// What came since the last time.
-    pub(crate) fn take(&self) -> Vec<E> {
+    /// Takes all queued events.
+    pub(crate) fn drain(&self) -> Vec<E> {
         let mut events = locked(&self.events);
         events.as_mut().map(std::mem::take).unwrap_or_default()
     }
 
-    /// Wakes the reader; one that isn't waiting finds out when it next waits.
+    /// Wakes the reader; if it isn't waiting, its next wait returns at once.
     pub(crate) fn wake(&self) {
         self.changed.notify_one();
     }
 
-    /// Waits until it is woken.
+    /// Waits until the reader is woken.
     pub(crate) async fn changed(&self) {
         self.changed.notified().await;
     }
--- a/crates/gateway/src/inbox/tests.rs
+++ b/crates/gateway/src/inbox/tests.rs
@@ -1,4 +1,4 @@
-//! Events for a planner that this node may not have.
+//! Tests of the event queue.
 
 use std::time::Duration;
 
@@ -6,30 +6,30 @@
 
 use crate::inbox::Inbox;
 
-/// Six of seven nodes never plan, and hear of every lost replica. What they keep of it
-/// would grow until the process is killed for its memory.
+/// Guards against unbounded memory growth at nodes that never run the planner but learn of every
+/// lost replica.
 #[gtest]
-fn nothing_is_kept_while_nobody_reads() {
+fn events_are_dropped_without_a_reader() {
     let inbox = Inbox::default();
     inbox.push(1);
-    expect_that!(inbox.take(), is_empty());
+    expect_that!(inbox.drain(), is_empty());
     inbox.open();
-    expect_that!(inbox.take(), is_empty());
+    expect_that!(inbox.drain(), is_empty());
     inbox.push(2);
     inbox.push(3);
-    expect_that!(inbox.take(), elements_are![eq(&2), eq(&3)]);
+    expect_that!(inbox.drain(), elements_are![eq(&2), eq(&3)]);
     inbox.push(4);
     inbox.close();
     inbox.push(5);
     inbox.open();
-    expect_that!(inbox.take(), is_empty());
+    expect_that!(inbox.drain(), is_empty());
 }
 
-/// An event comes between the reader's look and its wait. Missed, it would lie until the
-/// next one, and a repair with it.
+/// Guards against a lost wakeup for an event between the reader's check and its wait, which would
+/// delay a repair until the next event.
 #[gtest]
 #[tokio::test]
-async fn an_event_before_the_wait_ends_it() {
+async fn an_event_before_the_wait_ends_the_wait() {
     let inbox = Inbox::default();
     inbox.open();
     inbox.push(1);
--- a/crates/gateway/src/loss_detection.rs
+++ b/crates/gateway/src/loss_detection.rs
@@ -1,9 +1,8 @@
-//! Finding out that a replica has lost a member, and dropping hosts that stay unlisted.
+//! Detects replicas that lost a member, and expires hosts that stay unlisted.
 //!
-//! The load it answers: hosts die in the middle of streams. The head then still takes
-//! requests, but nothing moves, for seconds; the platform's list shows the death after
-//! 3 s and more. The streams' silence shows it after some 300 ms, and a question to each
-//! member then tells a dead member from a slow replica.
+//! When a host dies in the middle of streams, the head still takes requests but makes no progress,
+//! and the platform's list shows the death only after 3 s or more. Stalled streams show it after
+//! some 300 ms; a report request to each member then tells a dead member from a slow replica.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -21,51 +20,51 @@
 use crate::planning::PlanningEvent;
 use crate::ports::{HostControl, HostReport, HostUnavailable, Platform};
 
-/// Replicas are looked at this often: a sixth of the shortest silence that counts.
+/// How often replicas are checked for stalls: a sixth of the shortest stall that counts.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Heads that were lost long ago are looked for this often, an eighth of that time.
-const RENEW_INTERVAL: Duration = Duration::from_millis(500);
-/// A member that gives no report for this long counts as silent: a report takes 1 to 5 ms
-/// between failure domains, and one repeated packet some 200 ms.
+/// How often lost heads are checked for a retry: an eighth of the time they count as lost.
+const LOST_HEAD_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+/// Timeout of a report request, after which the member counts as silent: a reply takes 1 to 5 ms
+/// between failure domains, and one retransmission some 200 ms.
 pub(crate) const REPORT_TIMEOUT: Duration = Duration::from_millis(230);
-/// How long other nodes hold on to the report: until long after the replica was dissolved.
+/// How long other nodes keep the loss report: until well after the replica was dissolved.
 const LOSS_REPORT_TTL: Duration = Duration::from_secs(15);
 
 value! {
-    /// Why a replica counts as lost.
+    /// A replica that lost a member.
     pub(crate) struct LostReplica {
         pub(crate) replica: GroupId,
         pub(crate) epoch: Epoch,
-        /// Members that gave no answer.
+        /// Members that didn't reply.
         pub(crate) silent: SmallVec<[HostId; 2]>,
     }
 }
 
-/// Looks for replicas that stand still, for ever.
+/// Checks for stalled replicas until the process ends.
 pub(crate) async fn run<P: Platform>(core: Arc<Core<P>>) {
     let rule = StallThreshold::default();
     let mut strain = CpuOverload::default();
-    let mut renew_at = Instant::now();
+    let mut retry_lost_at = Instant::now();
     loop {
         let due = Instant::now() + POLL_INTERVAL;
         tokio::time::sleep_until(due.into()).await;
-        note_strain(&core, &mut strain, due);
-        drop_missing(&core);
-        // While the store is away entries of dead heads stand: each try would cost streams.
-        if core.store_failures() == 0 && due >= renew_at {
-            renew_at = due + RENEW_INTERVAL;
+        update_strain(&core, &mut strain, due);
+        expire_missing_hosts(&core);
+        // Entries of dead heads stay while the store is unavailable: each retry would break streams.
+        if core.store_failures() == 0 && due >= retry_lost_at {
+            retry_lost_at = due + LOST_HEAD_RETRY_INTERVAL;
             locked(&core.heads).retry_lost(Instant::now());
         }
-        for head in standing_still(&core, &rule) {
-            // The next look must not begin a second check beside this one.
+        for head in stalled_heads(&core, &rule) {
+            // Keeps the next round from starting a second check of the same replica.
             head.progress().on_work_resumed(Instant::now());
-            tokio::spawn(check(Arc::clone(&core), head));
+            tokio::spawn(check_members(Arc::clone(&core), head));
         }
     }
 }
 
-/// Takes how late this loop's timer was.
-fn note_strain<P: Platform>(core: &Core<P>, strain: &mut CpuOverload, due: Instant) {
+/// Updates CPU strain from the lateness of this loop's timer.
+fn update_strain<P: Platform>(core: &Core<P>, strain: &mut CpuOverload, due: Instant) {
     let now = Instant::now();
     strain.on_timer(now.saturating_duration_since(due), now);
     if strain.is_overloaded() != core.is_strained() {
@@ -74,11 +73,12 @@
     }
 }
 
-/// Drops hosts whose entries went while the store was away and did not come back in time.
+/// Removes hosts whose entries vanished while the store was unavailable and did not come back in
+/// time.
 ///
-/// The store tells of nothing when that time is over, so it must not wait for the next
-/// change: a host that left would get requests for up to 3 s more.
-fn drop_missing<P: Platform>(core: &Core<P>) {
+/// Runs on a timer because the store sends no event at that time: until the next change, a host
+/// that left would get requests for up to 3 s more.
+fn expire_missing_hosts<P: Platform>(core: &Core<P>) {
     let gone = locked(&core.fleet).expire(Instant::now());
     if gone.is_empty() {
         return;
@@ -89,19 +89,19 @@
     core.refresh_heads();
 }
 
-fn standing_still<P: Platform>(core: &Core<P>, rule: &StallThreshold) -> Vec<Arc<Head>> {
+fn stalled_heads<P: Platform>(core: &Core<P>, rule: &StallThreshold) -> Vec<Arc<Head>> {
     let now = Instant::now();
     let heads = locked(&core.heads);
-    let still = |h: &&Arc<Head>| {
+    let is_stalled = |h: &&Arc<Head>| {
         h.running_here() > 0
             && !h.is_lost()
             && h.progress().stalls_at(rule).is_some_and(|at| at <= now)
     };
-    heads.all().filter(still).cloned().collect()
+    heads.all().filter(is_stalled).cloned().collect()
 }
 
-/// Asks all members of a replica that stands still.
-async fn check<P: Platform>(core: Arc<Core<P>>, head: Arc<Head>) {
+/// Requests a report from each member of a stalled replica.
+async fn check_members<P: Platform>(core: Arc<Core<P>>, head: Arc<Head>) {
     let members: Vec<Host> = {
         let fleet = locked(&core.fleet);
         let members = fleet
@@ -109,10 +109,10 @@
             .filter(|h| h.belongs_to(&head.replica, head.epoch));
         members.cloned().collect()
     };
-    let mut questions = JoinSet::new();
+    let mut reports = JoinSet::new();
     for host in members {
         let core = Arc::clone(&core);
-        questions.spawn(async move {
+        reports.spawn(async move {
             let report = core
                 .platform
                 .control()
@@ -123,15 +123,15 @@
     }
     let mut silent = SmallVec::new();
     let mut broken = false;
-    while let Some(answered) = questions.join_next().await {
-        // A question can't panic; one that did would say nothing of its host.
+    while let Some(answered) = reports.join_next().await {
+        // A report request can't panic; one that did would show nothing about its host.
         let Ok((host, report)) = answered else {
             continue;
         };
         match report {
             Ok(report) => broken |= is_broken(&head, &report),
             Err(err) => {
-                note(&head, &host, &err);
+                log_silent_member(&head, &host, &err);
                 silent.push(host.id);
             }
         }
@@ -140,7 +140,7 @@
         info!(event = "replica-slow", replica = %head.replica, epoch = head.epoch);
         return;
     }
-    lose(&core, &head, silent);
+    report_loss(&core, &head, silent);
 }
 
 fn is_broken(head: &Head, report: &HostReport) -> bool {
@@ -152,15 +152,15 @@
     }
 }
 
-fn note(head: &Head, host: &Host, err: &HostUnavailable) {
+fn log_silent_member(head: &Head, host: &Host, err: &HostUnavailable) {
     info!(
         event = "member-silent", replica = %head.replica, epoch = head.epoch,
         host = %host.id, %err,
     );
 }
 
-/// Gives a replica up here, and tells the planner and the other nodes.
-fn lose<P: Platform>(core: &Core<P>, head: &Head, silent: SmallVec<[HostId; 2]>) {
+/// Marks a replica as lost at this node and reports the loss to the planner and the other nodes.
+fn report_loss<P: Platform>(core: &Core<P>, head: &Head, silent: SmallVec<[HostId; 2]>) {
     info!(
         event = "replica-lost", replica = %head.replica, epoch = head.epoch,
         silent = ?silent, running = head.running_here(),
@@ -169,8 +169,8 @@
     core.wake_waiting_requests();
     if let Some(peer) = core.peer() {
         let names: Vec<&str> = silent.iter().map(SmolStr::as_str).collect();
-        // Not a verdict: a node that holds one counts as a watcher, which is taken for
-        // dead unless it confirms its verdicts all the time.
+        // Not a health report: a node that publishes one counts as a watcher, and as dead unless it
+        // confirms its reports all the time.
         let update = GroupRecord {
             group: head.replica.clone(),
             version: head.epoch,
@@ -186,8 +186,9 @@
     core.planning.push(PlanningEvent::Lost(lost));
 }
 
-/// Takes another node's word that a replica is lost, unless its streams here say otherwise.
-pub(crate) fn heard<P: Platform>(core: &Core<P>, from: &NodeId, update: &GroupRecord) {
+/// Handles another node's report that a replica is lost. Ignored if its streams here still make
+/// progress.
+pub(crate) fn on_loss_report<P: Platform>(core: &Core<P>, from: &NodeId, update: &GroupRecord) {
     let head = locked(&core.heads)
         .get(&update.group, update.version)
         .cloned();
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -72,7 +72,7 @@
             Item::Group(record) if record.group == LEADER => {
                 locked(&self.core.leaders).insert(origin.clone(), record.version);
             }
-            Item::Group(update) => loss_detection::heard(&self.core, origin, &update),
+            Item::Group(update) => loss_detection::on_loss_report(&self.core, origin, &update),
             Item::Load(load) => self.node_load(origin, &load),
             _ => {}
         }
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -81,7 +81,7 @@
     }
 
     fn decide(&mut self, now: Instant) {
-        for event in self.core.planning.take() {
+        for event in self.core.planning.drain() {
             self.on_event(event, now);
         }
         self.report_lost_heads(now);
