--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -30,8 +30,8 @@
 
 /// The body of an answer.
 ///
-/// A stream is whole only if it was said to be: a channel that ends without [`StreamChunk::End`] is an
-/// answer that was cut off, also where its caller reads too slowly to be told of anything.
+/// A stream is whole only if it was said to be: a channel that ends without [`StreamChunk::End`] is
+/// an answer that was cut off, also where its caller reads too slowly to be told of anything.
 #[derive(Debug)]
 pub(crate) enum ResponseBody {
     Full(Option<Bytes>),
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -1,8 +1,7 @@
-//! The accepted configuration, from the store or from another node.
+//! The configuration in force, read from the store or from another node.
 //!
-//! The load it answers: the store turns some nodes away for seconds and serves the others.
-//! Those nodes would go on accepting keys that were taken away and refusing routes that
-//! were added, though their neighbours know better.
+//! The store can reject some nodes for seconds while it serves others. Without copies from other
+//! nodes, the rejected ones would keep accepting revoked keys and refusing new routes.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, PoisonError, RwLock};
@@ -18,102 +17,105 @@
 use crate::heads::locked;
 use crate::ports::{AcceptedConfig, Platform};
 
-/// A node that hears of a newer configuration gives the store this long to show it: the
-/// store does so within 10 ms, and within some 250 ms when it is slow.
-const OWN_READ: Duration = Duration::from_millis(400);
-/// Longest wait for another node's text: some 100 KB between failure domains.
+/// How long a node that learns of a newer configuration waits for it to arrive from the store,
+/// which takes up to 10 ms, or some 250 ms when the store is slow.
+const STORE_READ_DELAY: Duration = Duration::from_millis(400);
+/// Timeout for another node's configuration text, some 100 KB between failure domains.
 const FETCH_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// The configuration in force.
 #[derive(Debug, Default)]
 pub(crate) struct Configuration {
-    held: RwLock<Held>,
-    /// What each other node has in force, as it last said.
-    elsewhere: Mutex<BTreeMap<NodeId, ConfigVersion>>,
-    heard: Notify,
+    current: RwLock<Current>,
+    /// The version that each other node last reported to have in force.
+    peer_versions: Mutex<BTreeMap<NodeId, ConfigVersion>>,
+    peer_ahead: Notify,
 }
 
-/// Invariant: the version never falls, and `text` is what `catalog` was read from.
+/// Invariant: the version never decreases, and `catalog` was parsed from `text`.
 #[derive(Debug, Default)]
-struct Held {
+struct Current {
     catalog: Arc<Catalog>,
     text: String,
 }
 
 impl Configuration {
     pub(crate) fn catalog(&self) -> Arc<Catalog> {
-        let held = self.held.read().unwrap_or_else(PoisonError::into_inner);
-        Arc::clone(&held.catalog)
+        let current = self.current.read().unwrap_or_else(PoisonError::into_inner);
+        Arc::clone(&current.catalog)
     }
 
     /// The configuration in force with its text; `None` before there is one.
     pub(crate) fn accepted(&self) -> Option<AcceptedConfig> {
-        let held = self.held.read().unwrap_or_else(PoisonError::into_inner);
-        let known = held.catalog.version() > 0;
+        let current = self.current.read().unwrap_or_else(PoisonError::into_inner);
+        let known = current.catalog.version() > 0;
         known.then(|| AcceptedConfig {
-            catalog: Catalog::clone(&held.catalog),
-            text: held.text.clone(),
+            catalog: Catalog::clone(&current.catalog),
+            text: current.text.clone(),
         })
     }
 
-    /// Its text as other nodes get it; `None` before there is one.
+    /// Its text as sent to other nodes; `None` before there is one.
     pub(crate) fn text(&self) -> Option<ConfigText> {
-        let held = self.held.read().unwrap_or_else(PoisonError::into_inner);
-        let version = held.catalog.version();
+        let current = self.current.read().unwrap_or_else(PoisonError::into_inner);
+        let version = current.catalog.version();
         (version > 0).then(|| ConfigText {
             version,
-            checksum: checksum(&held.text),
+            checksum: checksum(&current.text),
             author: Default::default(),
             submit_id: Default::default(),
-            text: held.text.clone(),
+            text: current.text.clone(),
         })
     }
 
-    /// Puts a configuration in force, unless it is no newer. Whether it did.
+    /// Puts a configuration in force if it is newer, and returns whether it is.
     ///
-    /// The store's answers may be seconds old, and a new connection may show an older
-    /// state than the last one did; a version that has been in force is never left.
-    fn offer(&self, accepted: AcceptedConfig) -> bool {
-        let mut held = self.held.write().unwrap_or_else(PoisonError::into_inner);
-        if accepted.catalog.version() <= held.catalog.version() {
+    /// The store's responses may be seconds old, and a new connection may show an older state than
+    /// the last one did; the node never goes back to an older version.
+    fn replace_if_newer(&self, accepted: AcceptedConfig) -> bool {
+        let mut current = self.current.write().unwrap_or_else(PoisonError::into_inner);
+        if accepted.catalog.version() <= current.catalog.version() {
             return false;
         }
-        *held = Held {
+        *current = Current {
             catalog: Arc::new(accepted.catalog),
             text: accepted.text,
         };
         true
     }
 
-    /// Notes which version another node has in force.
-    pub(crate) fn heard(&self, node: &NodeId, version: ConfigVersion) {
-        locked(&self.elsewhere).insert(node.clone(), version);
+    /// Records the version that another node has in force.
+    pub(crate) fn on_peer_version(&self, node: &NodeId, version: ConfigVersion) {
+        locked(&self.peer_versions).insert(node.clone(), version);
         if version > self.catalog().version() {
-            self.heard.notify_one();
+            self.peer_ahead.notify_one();
         }
     }
 
-    /// Forgets what a node said that is gone.
-    pub(crate) fn forget(&self, node: &str) {
-        locked(&self.elsewhere).remove(node);
+    /// Forgets the version of a node that left or died.
+    pub(crate) fn forget_node(&self, node: &str) {
+        locked(&self.peer_versions).remove(node);
     }
 
-    /// Any of the nodes that have the highest version, if that is newer than the one here.
-    fn ahead(&self) -> Option<(ConfigVersion, NodeId)> {
-        let mine = self.catalog().version();
-        let elsewhere = locked(&self.elsewhere);
-        let newest = elsewhere.values().copied().max().filter(|v| *v > mine)?;
-        let nodes = elsewhere.iter().filter(|(_, version)| **version == newest);
+    /// The highest version at other nodes, if it is newer than the one here, and a random node that
+    /// has it.
+    fn newer_at_peer(&self) -> Option<(ConfigVersion, NodeId)> {
+        let own = self.catalog().version();
+        let peer_versions = locked(&self.peer_versions);
+        let newest = peer_versions.values().copied().max().filter(|v| *v > own)?;
+        let nodes = peer_versions
+            .iter()
+            .filter(|(_, version)| **version == newest);
         let nodes: Vec<&NodeId> = nodes.map(|(node, _)| node).collect();
         let node = nodes.get(fastrand::usize(..nodes.len()))?;
         Some((newest, (*node).clone()))
     }
 }
 
-/// Puts a configuration in force, unless it is no newer. `source` is where it is from.
-pub(crate) fn take<P: Platform>(core: &Core<P>, accepted: AcceptedConfig, source: &str) {
+/// Puts a configuration in force if it is newer. `source` says where it is from.
+pub(crate) fn apply<P: Platform>(core: &Core<P>, accepted: AcceptedConfig, source: &str) {
     let version = accepted.catalog.version();
-    if !core.configuration.offer(accepted) {
+    if !core.configuration.replace_if_newer(accepted) {
         return;
     }
     info!(event = "config", version, outcome = "in-force", source);
@@ -122,25 +124,25 @@
     core.planning.wake();
 }
 
-/// Fetches newer configurations from other nodes where the store doesn't show them, for
-/// ever.
+/// Fetches newer configurations from other nodes when the store doesn't show them, until the
+/// process ends.
 ///
-/// A node has the list from one other, its parent. Where the store turns both away, any node
-/// that tells of a newer version has it.
-pub(crate) async fn follow_nodes<P: Platform>(core: Arc<Core<P>>) {
+/// A node reads the list from one other node, its parent. If the store rejects both, any node that
+/// reports a newer version has it.
+pub(crate) async fn fetch_from_peers<P: Platform>(core: Arc<Core<P>>) {
     loop {
-        core.configuration.heard.notified().await;
-        tokio::time::sleep(OWN_READ).await;
-        while let Some((version, node)) = core.configuration.ahead() {
+        core.configuration.peer_ahead.notified().await;
+        tokio::time::sleep(STORE_READ_DELAY).await;
+        while let Some((version, node)) = core.configuration.newer_at_peer() {
             fetch(&core, version, &node).await;
-            tokio::time::sleep(OWN_READ).await;
+            tokio::time::sleep(STORE_READ_DELAY).await;
         }
     }
 }
 
 async fn fetch<P: Platform>(core: &Core<P>, version: ConfigVersion, node: &NodeId) {
     let Some(peer) = core.peer() else { return };
-    // Whole: former texts aren't kept, so that nobody could send a difference.
+    // The whole text: former texts aren't kept, so no node could send a delta.
     let fetched = peer.fetch_config(node, None, FETCH_TIMEOUT).await;
     let read = match fetched {
         Ok(text) => core
@@ -156,7 +158,7 @@
         }
     };
     match read {
-        Ok(accepted) => take(core, accepted, node),
+        Ok(accepted) => apply(core, accepted, node),
         Err(err) => warn!(event = "config", version, outcome = "unreadable", %node, %err),
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -17,7 +17,7 @@
 use crate::heads::locked;
 use crate::peers::{self, Peers};
 use crate::ports::Platform;
-use crate::reflector::{HostSink, OperatorSink, follow};
+use crate::reflector::{self, HostSink, OperatorSink};
 use crate::server::{self, OpenConnections};
 use crate::{configuration, leader, loss_detection, node_api};
 
@@ -186,13 +186,13 @@
 fn spawn_loops<P: Platform>(core: &Arc<Core<P>>) {
     let at = Arc::clone(core);
     tokio::spawn(async move {
-        follow(&*at, at.platform.hosts(), &HostSink(Arc::clone(&at))).await;
+        reflector::run(&*at, at.platform.hosts(), &HostSink(Arc::clone(&at))).await;
     });
     let at = Arc::clone(core);
     tokio::spawn(async move {
-        follow(&*at, at.platform.operator(), &OperatorSink(Arc::clone(&at))).await;
+        reflector::run(&*at, at.platform.operator(), &OperatorSink(Arc::clone(&at))).await;
     });
-    tokio::spawn(configuration::follow_nodes(Arc::clone(core)));
+    tokio::spawn(configuration::fetch_from_peers(Arc::clone(core)));
     tokio::spawn(leader::run(Arc::clone(core)));
     tokio::spawn(loss_detection::run(Arc::clone(core)));
     tokio::spawn(peers::publish_loads(Arc::clone(core)));
--- a/crates/gateway/src/loss_detection.rs
+++ b/crates/gateway/src/loss_detection.rs
@@ -50,7 +50,8 @@
         tokio::time::sleep_until(due.into()).await;
         update_strain(&core, &mut strain, due);
         expire_missing_hosts(&core);
-        // Entries of dead heads stay while the store is unavailable: each retry would break streams.
+        // Entries of dead heads stay while the store is unavailable: each retry would break
+        // streams.
         if core.store_failures() == 0 && due >= retry_lost_at {
             retry_lost_at = due + LOST_HEAD_RETRY_INTERVAL;
             locked(&core.heads).retry_lost(Instant::now());
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -79,7 +79,9 @@
     }
 
     fn node_load(&self, origin: &NodeId, load: &NodeLoad) {
-        self.core.configuration.heard(origin, load.config_version);
+        self.core
+            .configuration
+            .on_peer_version(origin, load.config_version);
         locked(&self.core.nodes).set_strained(origin, load.overloaded);
         // A load says that callers' requests have come: loads of weights are slow now.
         if load.load_permille > 0 {
@@ -127,7 +129,7 @@
     fn forget(&self, origin: &NodeId) {
         locked(&self.core.nodes).forget(origin);
         locked(&self.core.leaders).remove(origin);
-        self.core.configuration.forget(origin);
+        self.core.configuration.forget_node(origin);
         self.core.schedulers.forget_node(origin);
         for head in locked(&self.core.heads).all() {
             head.forget_node(origin);
--- a/crates/gateway/src/reflector.rs
+++ b/crates/gateway/src/reflector.rs
@@ -1,4 +1,5 @@
-//! Following the platform's lists, in the store or through another node.
+//! Reflectors keep this node's state up to date with the platform's lists, read from the store or
+//! from another node.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -13,80 +14,81 @@
 use crate::ports::{Cursor, OperatorChange, Platform, Source, SourceError};
 use crate::snapshot_relay::{self, ListCopy, ListUpdate, Parent, RelayError, Relayed};
 
-/// Longest wait of one question to the store for changes. The answer also says that nothing
-/// else has changed, which other nodes have to know twice a second, and a connection that
-/// went silent for good shows only as a question without an answer.
-const POLL_TIME: Duration = Duration::from_millis(500);
-/// Pause after an answer with changes, so that changes that come together cost one call.
+/// Longest wait of one long poll of the store. Its response also confirms that nothing else has
+/// changed, which other nodes have to know twice a second, and a dead connection is detected only
+/// by a poll without a response.
+const LONG_POLL_TIMEOUT: Duration = Duration::from_millis(500);
+/// Pause after a response with changes, so that changes in quick succession cost one call.
 const BATCH_DELAY: Duration = Duration::from_millis(60);
-/// A node that has just started reads the store after this long, unless it has a copy of another
-/// node by then. One that joins others hears of them sooner.
-const STORE_DELAY: Duration = Duration::from_millis(150);
-/// Nodes that start together read the store within this time of each other.
+/// How long after its start a node reads the store, unless it has a copy from another node by then.
+/// A node that joins a running system discovers the others sooner.
+const FIRST_STORE_READ_DELAY: Duration = Duration::from_millis(150);
+/// Jitter of the first read of the store, for nodes that start together.
 const START_JITTER: Duration = Duration::from_millis(50);
-/// Longest time for which a node without lists waits for its seeds, beyond [`STORE_DELAY`]. Of nodes
-/// that start together the seeds may be the last, and the store can't give its whole lists to each
-/// node of a large fleet at once.
-const SEED_PATIENCE: Duration = Duration::from_millis(400);
-/// How often a node that has no copy checks whether another node has one.
-const COPY_POLL: Duration = Duration::from_millis(10);
-/// The same after some polls: asked each [`COPY_POLL`] by all that start with them, nodes would have
-/// no time to read lists themselves.
-const MAX_COPY_POLL: Duration = Duration::from_millis(40);
-/// Longest time in which another node prepares a copy.
-const COPY_TIME: Duration = Duration::from_millis(400);
-/// How long it waits for the copy of another node after the store gave no answer.
+/// Longest time beyond [`FIRST_STORE_READ_DELAY`] that a node without lists waits for its seeds.
+/// The seeds may be the last to start, and the store can't serve its whole lists to each node of a
+/// large fleet at once.
+const MAX_SEED_WAIT: Duration = Duration::from_millis(400);
+/// First interval at which a node without lists polls other nodes for a copy.
+const COPY_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// The same after some polls: polled at [`COPY_POLL_INTERVAL`] by all that start with them, nodes
+/// would have no time to read the lists themselves.
+const MAX_COPY_POLL_INTERVAL: Duration = Duration::from_millis(40);
+/// Longest time that another node may take to prepare a copy.
+const COPY_RPC_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a node waits for another node's copy after the store gave no answer.
 const COPY_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a node that has just started waits to hear of others before it follows a list in the
-/// store. When all nodes start at once each would otherwise follow it there.
+/// How long a node that has just started waits to discover others before it polls the store for a
+/// list. Otherwise, when all nodes start at once, each would poll the store.
 const PEER_DISCOVERY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How often it checks meanwhile.
-const PEER_DISCOVERY_POLL: Duration = Duration::from_millis(50);
-/// Pause after a failure; grows up to [`MAX_PAUSE`].
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// A store that is back must be read again well within the 2 s in which a change counts.
-const MAX_PAUSE: Duration = Duration::from_millis(600);
+/// How often it checks for them.
+const PEER_DISCOVERY_INTERVAL: Duration = Duration::from_millis(50);
+/// Backoff after a failure; doubles up to [`MAX_BACKOFF`].
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// After an outage the store must be read again well within the 2 s in which a change has to take
+/// effect.
+const MAX_BACKOFF: Duration = Duration::from_millis(600);
 
-/// What becomes of changes.
+/// Receives the changes of a list.
 pub(crate) trait Sink<C> {
-    /// Takes changes in order. `from` is the node that told them, `None` for the store.
-    fn take(&self, changes: Vec<C>, version: Cursor, from: Option<&NodeId>);
+    /// Applies changes in order. `from` is the node that sent them, `None` for the store.
+    fn apply(&self, changes: Vec<C>, version: Cursor, from: Option<&NodeId>);
 }
 
-/// Which copies of a list are of use.
+/// Which copies of a list are acceptable.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Wanted {
-    /// Those that a node with access to the store would have.
+enum CopyAge {
+    /// Copies as recent as those of a node with access to the store.
     Fresh,
-    /// Any, while the store gives no answer.
+    /// Any copy, while the store gives no answer.
     Any,
 }
 
-/// What a node has read of a list.
-struct Reader<'r, P: Platform, S> {
+/// Reads one list and remembers its position.
+struct Reflector<'r, P: Platform, S> {
     core: &'r Core<P>,
     source: &'r S,
-    /// Where the list's feed goes on; `None` where the whole list has to be read.
+    /// Where the list's feed continues; `None` if the whole list has to be read.
     cursor: Option<Cursor>,
     /// The highest version that was read.
     newest: Cursor,
-    /// Whether the last question was answered.
+    /// Whether the last read succeeded.
     healthy: bool,
 }
 
-/// An answer to a question for changes.
-struct Answer<C> {
+/// The result of one read of a list.
+struct ListRead<C> {
     update: ListUpdate<C>,
     encoded: Vec<Vec<u8>>,
-    /// The node that gave it; `None` for the store.
+    /// The node that sent it; `None` for the store.
     from: Option<NodeId>,
-    /// Whether it shows that the store answers.
+    /// Whether it proves that the store is available.
     is_fresh: bool,
 }
 
-impl<C> Answer<C> {
-    fn of(copy: ListCopy<C>, from: NodeId) -> Answer<C> {
-        Answer {
+impl<C> ListRead<C> {
+    fn from_copy(copy: ListCopy<C>, from: NodeId) -> ListRead<C> {
+        ListRead {
             is_fresh: copy.check().is_ok(),
             update: copy.update,
             encoded: copy.encoded,
@@ -95,93 +97,93 @@
     }
 }
 
-impl<P, S> Reader<'_, P, S>
+impl<P, S> Reflector<'_, P, S>
 where
     P: Platform,
     S: Source,
     S::Change: Relayed<P>,
 {
-    /// What is new, from the node that should tell it, or else from the store.
-    async fn next(&self) -> Result<Answer<S::Change>, SourceError> {
+    /// Reads new changes from the parent node, or from the store if there is none.
+    async fn next(&self) -> Result<ListRead<S::Change>, SourceError> {
         if self.cursor.is_none() {
-            return self.first().await;
+            return self.initial_list().await;
         }
         while self.is_discovering_peers() {
-            tokio::time::sleep(PEER_DISCOVERY_POLL).await;
+            tokio::time::sleep(PEER_DISCOVERY_INTERVAL).await;
         }
         let Some(parent) = snapshot_relay::parent(self.core) else {
-            // After a failure the first question is one that is answered at once: a wait
-            // on a connection that is dead would hide for seconds that the store is back.
+            // The first poll after a failure asks for an immediate response: a long poll on a dead
+            // connection would hide for seconds that the store is back.
             let wait = if self.healthy {
-                POLL_TIME
+                LONG_POLL_TIMEOUT
             } else {
                 Duration::ZERO
             };
             return self.read_store(wait).await;
         };
         loop {
-            match self.ask(&parent).await {
-                // Of nodes that start together the parent may be the last to have its first lists.
+            match self.poll_parent(&parent).await {
+                // When nodes start together, the parent may be the last to get its first lists.
                 Err(RelayError::None) if self.has_just_started() => {
-                    tokio::time::sleep(PEER_DISCOVERY_POLL).await;
+                    tokio::time::sleep(PEER_DISCOVERY_INTERVAL).await;
                 }
-                Err(why) => return self.read_instead(&parent.node, &why).await,
-                Ok(answer) => return Ok(answer),
+                Err(why) => return self.fall_back_to_store(&parent.node, &why).await,
+                Ok(read) => return Ok(read),
             }
         }
     }
 
-    /// The whole list, from the store or from any node that has it, whichever is sooner.
+    /// Reads the whole list from the store or from any node that has it, whichever is sooner.
     ///
-    /// A node that starts serves nothing until then. While the store is away, what other nodes
-    /// serve by is as good as can be had.
-    async fn first(&self) -> Result<Answer<S::Change>, SourceError> {
-        let due = STORE_DELAY + START_JITTER.mul_f64(fastrand::f64());
-        let patience = SEED_PATIENCE.mul_f64(fastrand::f64());
+    /// A node that starts serves nothing until then. While the store is unavailable, the lists of
+    /// other nodes are the best available.
+    async fn initial_list(&self) -> Result<ListRead<S::Change>, SourceError> {
+        let not_before = FIRST_STORE_READ_DELAY + START_JITTER.mul_f64(fastrand::f64());
+        let seed_wait = MAX_SEED_WAIT.mul_f64(fastrand::f64());
         let store = async {
-            // The nodes that start beside this one are known only after a while.
-            while self.core.started_at.elapsed() < due + self.initial_read_delay(patience) {
-                tokio::time::sleep(MAX_COPY_POLL).await;
+            // The nodes that start together with this one are discovered only after a while.
+            while self.core.started_at.elapsed() < not_before + self.initial_read_delay(seed_wait) {
+                tokio::time::sleep(MAX_COPY_POLL_INTERVAL).await;
             }
             self.read_store(Duration::ZERO).await
         };
         let read = tokio::select! {
             read = store => read,
-            copy = self.copy_of_others(Wanted::Fresh) => Ok(copy),
+            copy = self.fetch_any_copy(CopyAge::Fresh) => Ok(copy),
         };
         match read {
-            Ok(answer) => Ok(answer),
+            Ok(read) => Ok(read),
             Err(err) => {
-                let copy = self.copy_of_others(Wanted::Any);
+                let copy = self.fetch_any_copy(CopyAge::Any);
                 let copy = tokio::time::timeout(COPY_TIMEOUT, copy).await;
                 copy.map_err(|_| err)
             }
         }
     }
 
-    /// How long this node leaves the store to others, `patience` while it has seeds that it hasn't
-    /// heard.
-    fn initial_read_delay(&self, patience: Duration) -> Duration {
+    /// How long this node delays its first read of the store in favour of others; `seed_wait` while
+    /// it has seeds that it hasn't discovered.
+    fn initial_read_delay(&self, seed_wait: Duration) -> Duration {
         if self.is_discovering_peers() {
-            patience
+            seed_wait
         } else {
             snapshot_relay::initial_read_delay(self.core)
         }
     }
 
-    /// Waits until another node gives its copy.
-    async fn copy_of_others(&self, wanted: Wanted) -> Answer<S::Change> {
-        let mut pause = COPY_POLL;
+    /// Polls other nodes until one sends its copy.
+    async fn fetch_any_copy(&self, age: CopyAge) -> ListRead<S::Change> {
+        let mut interval = COPY_POLL_INTERVAL;
         loop {
-            tokio::time::sleep(pause).await;
-            pause = (pause * 2).min(MAX_COPY_POLL);
+            tokio::time::sleep(interval).await;
+            interval = (interval * 2).min(MAX_COPY_POLL_INTERVAL);
             let Some(node) = snapshot_relay::any_node(self.core) else {
                 continue;
             };
-            let copy = snapshot_relay::fetch(self.core, &node, 0, COPY_TIME).await;
+            let copy = snapshot_relay::fetch(self.core, &node, 0, COPY_RPC_TIMEOUT).await;
             match copy {
-                Ok(copy) if wanted == Wanted::Any || copy.check().is_ok() => {
-                    return Answer::of(copy, node);
+                Ok(copy) if age == CopyAge::Any || copy.check().is_ok() => {
+                    return ListRead::from_copy(copy, node);
                 }
                 Ok(_) | Err(RelayError::None) => {}
                 Err(why) => {
@@ -192,26 +194,26 @@
         }
     }
 
-    async fn ask(&self, parent: &Parent) -> Result<Answer<S::Change>, RelayError> {
+    async fn poll_parent(&self, parent: &Parent) -> Result<ListRead<S::Change>, RelayError> {
         let since = self.cursor.unwrap_or_default();
         let node = &parent.node;
         let copy = snapshot_relay::fetch(self.core, node, since, parent.wait).await?;
         copy.check()?;
-        Ok(Answer::of(copy, node.clone()))
+        Ok(ListRead::from_copy(copy, node.clone()))
     }
 
-    /// Reads the store in place of a node that gave no usable copy.
-    async fn read_instead(
+    /// Reads the store after the parent gave no usable copy.
+    async fn fall_back_to_store(
         &self,
         parent: &NodeId,
         why: &RelayError,
-    ) -> Result<Answer<S::Change>, SourceError> {
+    ) -> Result<ListRead<S::Change>, SourceError> {
         info!(event = "relay-failed", list = S::Change::LIST, node = %parent, %why);
         locked(&self.core.nodes).mark_unavailable(parent, Instant::now());
         self.read_store(Duration::ZERO).await
     }
 
-    /// Whether this node is to hear of others and has not had the time yet.
+    /// Whether this node has seeds, knows no other node yet, and has only just started.
     fn is_discovering_peers(&self) -> bool {
         let addresses = &self.core.cfg.addresses;
         let has_seeds = addresses.seeds.iter().any(|s| *s != addresses.peers);
@@ -222,13 +224,13 @@
         self.core.started_at.elapsed() < PEER_DISCOVERY_TIMEOUT
     }
 
-    async fn read_store(&self, wait: Duration) -> Result<Answer<S::Change>, SourceError> {
+    async fn read_store(&self, wait: Duration) -> Result<ListRead<S::Change>, SourceError> {
         let (changes, version) = match self.cursor {
             None => self.source.snapshot().await?,
             Some(since) => self.source.changes(since, wait).await?,
         };
         let encoded: Result<Vec<_>, _> = changes.iter().map(Relayed::encode).collect();
-        Ok(Answer {
+        Ok(ListRead {
             encoded: encoded?,
             update: ListUpdate {
                 changes,
@@ -241,19 +243,20 @@
         })
     }
 
-    /// Whether an answer shows an older state than one before, and so says nothing of now.
+    /// Whether an update shows an older state than one that was read before, so that it must be
+    /// ignored.
     fn is_older(&self, update: &ListUpdate<S::Change>) -> bool {
         update.whole && update.version < self.newest
     }
 
-    /// Takes an answer over. Whether it brought changes.
-    fn take(&mut self, answer: Answer<S::Change>, sink: &impl Sink<S::Change>) -> bool {
-        let Answer {
+    /// Applies what was read. Returns whether it had changes.
+    fn apply(&mut self, read: ListRead<S::Change>, sink: &impl Sink<S::Change>) -> bool {
+        let ListRead {
             update,
             encoded,
             from,
             ..
-        } = answer;
+        } = read;
         if !self.healthy {
             info!(
                 event = "dependency",
@@ -268,10 +271,10 @@
         self.cursor = Some(self.newest);
         let changed = !update.changes.is_empty();
         if changed {
-            sink.take(update.changes, update.version, from.as_ref());
+            sink.apply(update.changes, update.version, from.as_ref());
         }
-        // Told on only once it is in force here: a node that is asked for the whole list
-        // tells what it has.
+        // Published to other nodes only once it is in force here: requests for the whole list are
+        // answered from this node's state.
         S::Change::log(self.core).take(&ListUpdate {
             changes: encoded,
             version: update.version,
@@ -282,8 +285,8 @@
     }
 }
 
-/// Keeps a sink up to date with a source, for ever.
-pub(crate) async fn follow<P, S, K>(core: &Core<P>, source: &S, sink: &K)
+/// Keeps a sink up to date with a source until the process ends.
+pub(crate) async fn run<P, S, K>(core: &Core<P>, source: &S, sink: &K)
 where
     P: Platform,
     S: Source,
@@ -291,38 +294,38 @@
     K: Sink<S::Change>,
 {
     let list = S::Change::LIST;
-    let mut reader = Reader {
+    let mut reflector = Reflector {
         core,
         source,
         cursor: None,
         newest: 0,
         healthy: false,
     };
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     loop {
-        match reader.next().await {
-            Ok(answer) if reader.is_older(&answer.update) => tokio::time::sleep(pause).await,
-            Ok(answer) => {
-                if answer.is_fresh {
+        match reflector.next().await {
+            Ok(read) if reflector.is_older(&read.update) => tokio::time::sleep(backoff).await,
+            Ok(read) => {
+                if read.is_fresh {
                     core.record_store_success();
                 }
-                pause = FIRST_PAUSE;
-                if reader.take(answer, sink) {
+                backoff = INITIAL_BACKOFF;
+                if reflector.apply(read, sink) {
                     tokio::time::sleep(BATCH_DELAY).await;
                 }
             }
             Err(SourceError::Compacted) => {
                 info!(event = "dependency", list, state = "history-gone");
-                reader.cursor = None;
+                reflector.cursor = None;
             }
             Err(err) => {
                 core.record_store_failure();
-                if reader.healthy || pause == FIRST_PAUSE {
+                if reflector.healthy || backoff == INITIAL_BACKOFF {
                     warn!(event = "dependency", list, state = "fails", %err);
                 }
-                reader.healthy = false;
-                tokio::time::sleep(pause).await;
-                pause = (pause * 2).min(MAX_PAUSE);
+                reflector.healthy = false;
+                tokio::time::sleep(backoff).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
         let failures = i64::try_from(core.store_failures()).unwrap_or(i64::MAX);
@@ -330,14 +333,14 @@
     }
 }
 
-/// Takes host entries into the fleet.
+/// Applies host entries to the fleet.
 pub(crate) struct HostSink<P: Platform>(pub(crate) Arc<Core<P>>);
 
 impl<P: Platform> Sink<FleetChange> for HostSink<P> {
-    fn take(&self, changes: Vec<FleetChange>, version: Cursor, from: Option<&NodeId>) {
+    fn apply(&self, changes: Vec<FleetChange>, version: Cursor, from: Option<&NodeId>) {
         let now = Instant::now();
-        // The planner, which decides by them, logs each change; the others which ones they
-        // have, by their version.
+        // The planner decides by the entries and logs each change; other nodes log only the
+        // version.
         let from_name = from.map_or("store", |node| node.as_str());
         info!(
             event = "hosts",
@@ -345,17 +348,17 @@
             changes = changes.len(),
             from = from_name
         );
-        let decides = self.0.is_planner();
+        let is_planner = self.0.is_planner();
         {
             let mut fleet = locked(&self.0.fleet);
             let mut gone = Vec::new();
             for change in changes {
-                if let (FleetChange::Put(host), true) = (&change, decides) {
-                    note(host, version);
+                if let (FleetChange::Put(host), true) = (&change, is_planner) {
+                    log_host(host, version);
                 }
                 gone.extend(fleet.apply(change, now));
             }
-            for host in gone.iter().filter(|_| decides) {
+            for host in gone.iter().filter(|_| is_planner) {
                 info!(event = "host-gone", %host, reason = "no longer listed");
             }
         }
@@ -363,7 +366,7 @@
     }
 }
 
-fn note(host: &Host, version: Cursor) {
+fn log_host(host: &Host, version: Cursor) {
     let m = host.membership.as_ref();
     info!(
         event = "host", version, host = %host.id, state = ?host.state, born = host.started_ms,
@@ -374,26 +377,26 @@
     );
 }
 
-/// Takes into force what the operator decided.
+/// Applies the operator's configurations and evacuations.
 pub(crate) struct OperatorSink<P: Platform>(pub(crate) Arc<Core<P>>);
 
 impl<P: Platform> Sink<OperatorChange> for OperatorSink<P> {
-    fn take(&self, changes: Vec<OperatorChange>, version: Cursor, from: Option<&NodeId>) {
+    fn apply(&self, changes: Vec<OperatorChange>, version: Cursor, from: Option<&NodeId>) {
         let source = from.map_or("store", |node| node.as_str());
         for change in changes {
             match change {
                 OperatorChange::Configuration(accepted) => {
-                    configuration::take(&self.0, accepted, source);
+                    configuration::apply(&self.0, accepted, source);
                 }
                 OperatorChange::Evacuation(change) => {
-                    take_evacuation(&self.0, change, version, source);
+                    apply_evacuation(&self.0, change, version, source);
                 }
             }
         }
     }
 }
 
-fn take_evacuation<P: Platform>(
+fn apply_evacuation<P: Platform>(
     core: &Core<P>,
     change: EvacuationChange,
     version: Cursor,
--- a/crates/gateway/src/snapshot_relay.rs
+++ b/crates/gateway/src/snapshot_relay.rs
@@ -31,7 +31,8 @@
 const ENCODED_LIST_TTL: Duration = Duration::from_millis(300);
 /// Longest wait of one question to another node.
 const POLL_TIME: Duration = Duration::from_millis(400);
-/// The same for inner nodes of the list tree: each hop adds to a list's age, bounded by [`MAX_AGE`].
+/// The same for inner nodes of the list tree: each hop adds to a list's age, bounded by
+/// [`MAX_AGE`].
 const INNER_POLL_TIME: Duration = Duration::from_millis(150);
 /// An answer may take this long beyond its wait; between failure domains it takes 1 to 5 ms,
 /// and one repeated packet some 200 ms.
