--- a/crates/gateway/src/list_codec.rs
+++ b/crates/gateway/src/list_codec.rs
@@ -1,4 +1,4 @@
-//! Changes of lists as they travel between nodes: JSON, compressed where it is long.
+//! Wire encoding of list changes between nodes: JSON, compressed with zlib if it is long.
 
 use std::io::{Read, Write};
 
@@ -10,17 +10,17 @@
 
 use crate::ports::SourceError;
 
-/// The first byte of each zlib stream with the usual window; no JSON text begins with it.
-const ZLIB: u8 = b'x';
-/// Longest text of a change: a list of 40,000 hosts.
-const MAX_TEXT: u64 = 16 << 20;
-/// Shorter texts travel as they are: they fit a packet.
-const MIN_COMPRESSED: usize = 1200;
+/// First byte of a zlib stream with the default window size; no JSON text begins with it.
+const ZLIB_MAGIC: u8 = b'x';
+/// Longest decoded change, in bytes: a list of 40,000 hosts.
+const MAX_DECODED_BYTES: u64 = 16 << 20;
+/// Shorter texts, in bytes, are not compressed: they fit into one packet.
+const MIN_COMPRESSED_BYTES: usize = 1200;
 
-/// A change of a list as it travels.
+/// Encodes a change.
 pub(crate) fn encode(change: &impl Serialize) -> Result<Vec<u8>, SourceError> {
     let text = serde_json::to_vec(change).map_err(malformed)?;
-    if text.len() < MIN_COMPRESSED {
+    if text.len() < MIN_COMPRESSED_BYTES {
         return Ok(text);
     }
     let mut encoder = ZlibEncoder::new(Vec::new(), Compression::fast());
@@ -28,13 +28,13 @@
     encoder.finish().map_err(malformed)
 }
 
-/// Reads a change, also one that an older build didn't compress.
+/// Decodes a change, also an uncompressed one of any length from an older build.
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, SourceError> {
-    if bytes.first() != Some(&ZLIB) {
+    if bytes.first() != Some(&ZLIB_MAGIC) {
         return serde_json::from_slice(bytes).map_err(malformed);
     }
     let mut text = Vec::new();
-    let mut decoder = ZlibDecoder::new(bytes).take(MAX_TEXT);
+    let mut decoder = ZlibDecoder::new(bytes).take(MAX_DECODED_BYTES);
     decoder.read_to_end(&mut text).map_err(malformed)?;
     serde_json::from_slice(&text).map_err(malformed)
 }
@@ -51,11 +51,11 @@
 
     use super::*;
 
-    /// Hosts of the largest fleet in service, named and addressed as platforms do.
+    /// Hosts of the largest fleet in service.
     const HOSTS: u64 = 2640;
     /// The slowest link of a node, in bytes a second.
     const SLOW_LINK: f64 = 20e6 / 8.0;
-    /// Within this a node that starts must have its first lists.
+    /// Time limit in seconds for a node that starts to receive its first lists.
     const MAX_TRANSFER: f64 = 0.1;
 
     fn host(n: u64) -> Host {
@@ -81,10 +81,10 @@
         }
     }
 
-    /// Guards against nodes with slow links waiting for their first lists, and against the node
-    /// that they ask sending megabytes to each.
+    /// Guards against large snapshots, which delay the start of nodes with slow links and cost the
+    /// node that serves them megabytes for each.
     #[gtest]
-    fn a_whole_list_fits_a_slow_link_at_twice_the_size_of_the_fleet() -> Result<()> {
+    fn a_snapshot_of_twice_the_fleet_fits_a_slow_link() -> Result<()> {
         for hosts in [HOSTS, 2 * HOSTS] {
             let list = FleetChange::Snapshot((0..hosts).map(host).collect());
             let bytes = encode(&list).or_fail()?;
@@ -96,7 +96,7 @@
     }
 
     #[gtest]
-    fn single_changes_and_uncompressed_lists_are_read() -> Result<()> {
+    fn single_changes_and_uncompressed_lists_are_decoded() -> Result<()> {
         let put = FleetChange::Put(Box::new(host(1)));
         let list = FleetChange::Snapshot(vec![host(1), host(2)]);
         for change in [put, list] {
@@ -110,10 +110,10 @@
         Ok(())
     }
 
-    /// Guards against a configuration that comes to each node's slow link as hundreds of kilobytes
-    /// and holds up callers' requests behind it.
+    /// Guards against a configuration of hundreds of kilobytes that delays callers' requests on a
+    /// node's slow link.
     #[gtest]
-    fn the_text_of_a_configuration_is_compressed() -> Result<()> {
+    fn configuration_text_is_compressed() -> Result<()> {
         let route = |n: usize| {
             format!(
                 r#"{{"route":"r-{n:07}","host":"site{n}.example","path":"/p{n}/","repeat":"once",
--- a/crates/gateway/src/reflector.rs
+++ b/crates/gateway/src/reflector.rs
@@ -124,7 +124,7 @@
         loop {
             match self.poll_parent(&parent).await {
                 // When nodes start together, the parent may be the last to get its first lists.
-                Err(RelayError::None) if self.has_just_started() => {
+                Err(RelayError::NoCopy) if self.has_just_started() => {
                     tokio::time::sleep(PEER_DISCOVERY_INTERVAL).await;
                 }
                 Err(why) => return self.fall_back_to_store(&parent.node, &why).await,
@@ -177,7 +177,7 @@
         loop {
             tokio::time::sleep(interval).await;
             interval = (interval * 2).min(MAX_COPY_POLL_INTERVAL);
-            let Some(node) = snapshot_relay::any_node(self.core) else {
+            let Some(node) = snapshot_relay::any_copy_source(self.core) else {
                 continue;
             };
             let copy = snapshot_relay::fetch(self.core, &node, 0, COPY_RPC_TIMEOUT).await;
@@ -185,7 +185,7 @@
                 Ok(copy) if age == CopyAge::Any || copy.check().is_ok() => {
                     return ListRead::from_copy(copy, node);
                 }
-                Ok(_) | Err(RelayError::None) => {}
+                Ok(_) | Err(RelayError::NoCopy) => {}
                 Err(why) => {
                     info!(event = "relay-failed", list = S::Change::LIST, %node, %why);
                     locked(&self.core.nodes).mark_unavailable(&node, Instant::now());
@@ -236,7 +236,7 @@
                 changes,
                 version,
                 as_of: Instant::now(),
-                whole: self.cursor.is_none(),
+                is_snapshot: self.cursor.is_none(),
             },
             from: None,
             is_fresh: true,
@@ -246,7 +246,7 @@
     /// Whether an update shows an older state than one that was read before, so that it must be
     /// ignored.
     fn is_older(&self, update: &ListUpdate<S::Change>) -> bool {
-        update.whole && update.version < self.newest
+        update.is_snapshot && update.version < self.newest
     }
 
     /// Applies what was read. Returns whether it had changes.
@@ -275,11 +275,11 @@
         }
         // Published to other nodes only once it is in force here: requests for the whole list are
         // answered from this node's state.
-        S::Change::log(self.core).take(&ListUpdate {
+        S::Change::published(self.core).record(&ListUpdate {
             changes: encoded,
             version: update.version,
             as_of: update.as_of,
-            whole: update.whole,
+            is_snapshot: update.is_snapshot,
         });
         changed
     }
--- a/crates/gateway/src/snapshot_relay.rs
+++ b/crates/gateway/src/snapshot_relay.rs
@@ -1,8 +1,8 @@
-//! Telling other nodes the platform's lists, and having them from other nodes.
+//! Relays copies of the platform's lists between nodes.
 //!
-//! Who asks whom is [`list_parent`]'s choice. A node whose parent gives no fresh copy within a
-//! fraction of a second asks the store itself, so that a parent's death or its being cut off
-//! from the store costs less time than a change may stay unseen.
+//! [`list_parent`] chooses the node to poll. A node whose parent sends no fresh copy within a
+//! fraction of a second reads the store itself, so that a parent that died or lost access to the
+//! store delays changes by less than their bound.
 
 use std::borrow::Cow;
 use std::sync::{Arc, Mutex};
@@ -23,45 +23,45 @@
 use crate::list_codec;
 use crate::ports::{AcceptedConfig, Cursor, OperatorChange, Platform, SourceError};
 
-/// A copy that is older than this is of no use: with one more question to the store a
-/// change must be seen within 2 s, the shortest bound that platforms set. Copies in order
-/// are half a second old at the node that asks the store, and as much more one hop on.
+/// Oldest usable copy: including one more read of the store, a change must be seen within 2 s, the
+/// shortest bound that platforms set. Healthy copies are half a second old at the node that polls
+/// the store, and as much older one hop on.
 const MAX_AGE: Duration = Duration::from_millis(1100);
 /// How long an encoded list is reused for other nodes; they fetch later changes as deltas.
 const ENCODED_LIST_TTL: Duration = Duration::from_millis(300);
-/// Longest wait of one question to another node.
-const POLL_TIME: Duration = Duration::from_millis(400);
+/// Longest wait of one long poll of another node.
+const MAX_POLL_WAIT: Duration = Duration::from_millis(400);
 /// The same for inner nodes of the list tree: each hop adds to a list's age, bounded by
 /// [`MAX_AGE`].
-const INNER_POLL_TIME: Duration = Duration::from_millis(150);
-/// An answer may take this long beyond its wait; between failure domains it takes 1 to 5 ms,
-/// and one repeated packet some 200 ms.
+const INNER_MAX_POLL_WAIT: Duration = Duration::from_millis(150);
+/// Allowance for a reply beyond its wait: between failure domains it takes 1 to 5 ms, and one
+/// retransmission some 200 ms.
 const RPC_SLACK: Duration = Duration::from_millis(250);
 
-/// A list as other nodes get it.
+/// A list as it is served to other nodes.
 #[derive(Debug, Default)]
-pub(crate) struct SharedLog {
+pub(crate) struct PublishedList {
     log: Mutex<ChangeLog>,
     version: watch::Sender<Cursor>,
-    whole: Mutex<Option<EncodedList>>,
+    snapshot: Mutex<Option<EncodedList>>,
 }
 
-/// A snapshot in its wire form, shared by the nodes that ask for it at once when they start.
+/// A snapshot in its wire form, shared by the nodes that request it at once when they start.
 #[derive(Clone, Debug)]
 struct EncodedList {
     version: Cursor,
-    /// When the list is known to have been like this.
+    /// The latest time at which this was known to be the list's state.
     as_of: Instant,
-    encoded: Instant,
+    encoded_at: Instant,
     changes: Vec<Vec<u8>>,
 }
 
-impl SharedLog {
-    /// Notes what was read, as it is now known to be or to have been.
-    pub(crate) fn take(&self, update: &ListUpdate<Vec<u8>>) {
+impl PublishedList {
+    /// Records an update that was read.
+    pub(crate) fn record(&self, update: &ListUpdate<Vec<u8>>) {
         {
             let mut log = locked(&self.log);
-            if update.whole {
+            if update.is_snapshot {
                 log.reset(update.version, update.as_of);
             } else {
                 let changes = update.changes.clone();
@@ -76,57 +76,57 @@
     }
 
     /// Waits until the list is newer than `since`.
-    async fn newer_than(&self, since: Cursor) {
+    async fn wait_newer_than(&self, since: Cursor) {
         let mut rx = self.version.subscribe();
-        // The sender lives as long as `self`.
+        // The sender lives as long as `self`, so the channel can't close.
         let _ = rx.wait_for(|version| *version > since).await;
     }
 }
 
-/// All lists that nodes tell each other.
+/// The lists that nodes relay to each other.
 #[derive(Debug, Default)]
 pub(crate) struct SnapshotRelay {
-    pub(crate) hosts: SharedLog,
-    pub(crate) operator: SharedLog,
+    pub(crate) hosts: PublishedList,
+    pub(crate) operator: PublishedList,
 }
 
-/// Changes of a list, and how it is known.
+/// Changes of a list, with the version and time of the state that they lead to.
 #[derive(Clone, Debug)]
 pub(crate) struct ListUpdate<C> {
     pub(crate) changes: Vec<C>,
     pub(crate) version: Cursor,
-    /// When the list is known to have been like this.
+    /// The latest time at which this was known to be the list's state.
     pub(crate) as_of: Instant,
-    /// The changes are the whole list.
-    pub(crate) whole: bool,
+    /// Whether the changes are the whole list.
+    pub(crate) is_snapshot: bool,
 }
 
-/// A list that nodes tell each other, with the spelling of its changes.
+/// A list that nodes relay to each other, with the encoding of its changes.
 pub(crate) trait Relayed<P: Platform>: Sized {
-    /// The name of the list, in questions and logs.
+    /// The name of the list in requests and logs.
     const LIST: &'static str;
 
-    /// Where it is kept for other nodes.
-    fn log(core: &Core<P>) -> &SharedLog;
+    /// The list as it is served to other nodes.
+    fn published(core: &Core<P>) -> &PublishedList;
 
-    /// The whole list as this node has it; nothing where it has none.
-    fn whole(core: &Core<P>) -> Vec<Self>;
+    /// The whole list as this node has it; empty if it has none.
+    fn snapshot(core: &Core<P>) -> Vec<Self>;
 
-    /// The change as it travels.
+    /// Encodes the change for other nodes.
     fn encode(&self) -> Result<Vec<u8>, SourceError>;
 
-    /// Reads what travelled.
+    /// Decodes a change from another node.
     fn decode(platform: &P, bytes: &[u8]) -> Result<Self, SourceError>;
 }
 
 impl<P: Platform> Relayed<P> for FleetChange {
     const LIST: &'static str = "hosts";
 
-    fn log(core: &Core<P>) -> &SharedLog {
+    fn published(core: &Core<P>) -> &PublishedList {
         &core.lists.hosts
     }
 
-    fn whole(core: &Core<P>) -> Vec<FleetChange> {
+    fn snapshot(core: &Core<P>) -> Vec<FleetChange> {
         let fleet = locked(&core.fleet);
         if !fleet.is_loaded() {
             return Vec::new();
@@ -143,7 +143,7 @@
     }
 }
 
-/// An [`OperatorChange`] as it travels: a configuration as the platform's own text.
+/// The wire form of an [`OperatorChange`]; a configuration is the platform's own text.
 #[derive(Serialize, Deserialize)]
 enum OperatorMessage<'m> {
     Configuration(Cow<'m, str>),
@@ -153,11 +153,11 @@
 impl<P: Platform> Relayed<P> for OperatorChange {
     const LIST: &'static str = "operator";
 
-    fn log(core: &Core<P>) -> &SharedLog {
+    fn published(core: &Core<P>) -> &PublishedList {
         &core.lists.operator
     }
 
-    fn whole(core: &Core<P>) -> Vec<OperatorChange> {
+    fn snapshot(core: &Core<P>) -> Vec<OperatorChange> {
         let accepted = core.configuration.accepted();
         let evacuated = locked(&core.fleet).evacuated().cloned().collect();
         let evacuated = OperatorChange::Evacuation(EvacuationChange::Snapshot(evacuated));
@@ -188,7 +188,7 @@
     }
 }
 
-/// Answers another node's question for a list.
+/// Handles another node's request for a list.
 pub(crate) async fn handle<P: Platform>(core: Arc<Core<P>>, req: ListRequest) -> ListReply {
     if req.list == <FleetChange as Relayed<P>>::LIST {
         return handle_for::<P, FleetChange>(&core, &req).await;
@@ -200,15 +200,15 @@
 }
 
 async fn handle_for<P: Platform, C: Relayed<P>>(core: &Core<P>, req: &ListRequest) -> ListReply {
-    let shared = C::log(core);
+    let published = C::published(core);
     if req.since > 0 {
-        let wait = Duration::from_millis(req.wait_ms.into()).min(POLL_TIME);
-        // Running out is the usual end.
-        let _ = tokio::time::timeout(wait, shared.newer_than(req.since)).await;
+        let wait = Duration::from_millis(req.wait_ms.into()).min(MAX_POLL_WAIT);
+        // A timeout is the usual case: nothing changed.
+        let _ = tokio::time::timeout(wait, published.wait_newer_than(req.since)).await;
     }
     let now = Instant::now();
     let (version, age, catch_up) = {
-        let log = locked(&shared.log);
+        let log = locked(&published.log);
         (log.version(), log.age(now), log.changes_since(req.since))
     };
     let as_of = age.and_then(|age| now.checked_sub(age));
@@ -220,12 +220,12 @@
             let list = EncodedList {
                 version,
                 as_of,
-                encoded: now,
+                encoded_at: now,
                 changes,
             };
             (Some(list), false)
         }
-        SyncUpdate::Snapshot => (encoded_list::<P, C>(core, version, as_of, now), true),
+        SyncUpdate::Snapshot => (encoded_snapshot::<P, C>(core, version, as_of, now), true),
     };
     let Some(list) = list else {
         return ListReply::default();
@@ -240,46 +240,46 @@
     }
 }
 
-/// The cached snapshot while it is recent, else a new one.
-fn encoded_list<P: Platform, C: Relayed<P>>(
+/// The cached snapshot if it is recent, else a new one.
+fn encoded_snapshot<P: Platform, C: Relayed<P>>(
     core: &Core<P>,
     version: Cursor,
     as_of: Instant,
     now: Instant,
 ) -> Option<EncodedList> {
-    let mut held = locked(&C::log(core).whole);
+    let mut cached = locked(&C::published(core).snapshot);
     let is_recent =
-        |list: &EncodedList| now.saturating_duration_since(list.encoded) < ENCODED_LIST_TTL;
-    if let Some(list) = held.as_ref().filter(|list| is_recent(list)) {
+        |list: &EncodedList| now.saturating_duration_since(list.encoded_at) < ENCODED_LIST_TTL;
+    if let Some(list) = cached.as_ref().filter(|list| is_recent(list)) {
         return Some(list.clone());
     }
-    let changes: Result<_, SourceError> = C::whole(core).iter().map(C::encode).collect();
+    let changes: Result<_, SourceError> = C::snapshot(core).iter().map(C::encode).collect();
     let list = EncodedList {
         version,
         as_of,
-        encoded: now,
+        encoded_at: now,
         changes: changes.ok()?,
     };
-    *held = Some(list.clone());
+    *cached = Some(list.clone());
     Some(list)
 }
 
-/// Why a node's copy of a list is of no use.
+/// Why a node's copy of a list can't be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RelayError {
-    /// It wasn't reached or gave no answer.
+    /// It wasn't reached or didn't reply.
     #[error("no answer: {0}")]
     NoAnswer(String),
-    /// It has none.
-    #[error("it has none")]
-    None,
-    /// It gets no answers from the store itself.
-    #[error("the store gives it no answers")]
-    Failing,
-    /// It may have missed changes.
-    #[error("it is {0:?} old")]
-    Old(Duration),
-    /// It can't be read.
+    /// It has no copy.
+    #[error("it has no copy")]
+    NoCopy,
+    /// It can't read the store itself.
+    #[error("it can't read the store")]
+    StoreUnavailable,
+    /// Its copy is too old and may lack changes.
+    #[error("its copy is {0:?} old")]
+    Stale(Duration),
+    /// Its copy can't be decoded.
     #[error(transparent)]
     Malformed(SourceError),
 }
@@ -294,9 +294,9 @@
 impl Parent {
     fn new(parent: ListParent<'_>) -> Parent {
         let wait = if parent.is_inner {
-            INNER_POLL_TIME
+            INNER_MAX_POLL_WAIT
         } else {
-            POLL_TIME
+            MAX_POLL_WAIT
         };
         Parent {
             node: parent.node.clone(),
@@ -305,17 +305,17 @@
     }
 }
 
-/// The node to ask for lists, unless this one is to ask the store.
+/// The node to poll for lists; `None` if this node should poll the store.
 pub(crate) fn parent<P: Platform>(core: &Core<P>) -> Option<Parent> {
     let now = Instant::now();
-    let holder = leader::current(core, now).map(|leader| leader.node);
+    let planner_leader = leader::current(core, now).map(|leader| leader.node);
     let nodes = locked(&core.nodes);
     let others = nodes.with_copies(now);
-    list_parent(core.as_candidate(), holder.as_ref(), others).map(Parent::new)
+    list_parent(core.as_candidate(), planner_leader.as_ref(), others).map(Parent::new)
 }
 
-/// Any node that may have lists, for a node that has none: the one to ask, or else one by chance.
-pub(crate) fn any_node<P: Platform>(core: &Core<P>) -> Option<NodeId> {
+/// A node that may have a copy, for a node without lists: its parent, or else a random one.
+pub(crate) fn any_copy_source<P: Platform>(core: &Core<P>) -> Option<NodeId> {
     let parent = parent(core).map(|parent| parent.node);
     parent.or_else(|| {
         let nodes = locked(&core.nodes);
@@ -324,7 +324,7 @@
     })
 }
 
-/// Delay of this node's first read of the store.
+/// How long this node delays its first read of the store.
 pub(crate) fn initial_read_delay<P: Platform>(core: &Core<P>) -> Duration {
     let nodes = locked(&core.nodes);
     let others = nodes.with_copies(Instant::now());
@@ -335,41 +335,41 @@
 #[derive(Clone, Debug)]
 pub(crate) struct ListCopy<C> {
     pub(crate) update: ListUpdate<C>,
-    /// The changes as they travelled.
+    /// The changes in their wire form.
     pub(crate) encoded: Vec<Vec<u8>>,
-    /// How old it is.
+    /// The copy's age on arrival.
     age: Duration,
-    /// The node gets no answers from the store.
+    /// Whether the node fails to read the store.
     failing: bool,
 }
 
 impl<C> ListCopy<C> {
     /// # Errors
-    /// When it may lack changes that a node with access to the store would have.
+    /// If it may lack changes that a node with access to the store would have.
     pub(crate) fn check(&self) -> Result<(), RelayError> {
         if self.failing {
-            return Err(RelayError::Failing);
+            return Err(RelayError::StoreUnavailable);
         }
         if self.age > MAX_AGE {
-            return Err(RelayError::Old(self.age));
+            return Err(RelayError::Stale(self.age));
         }
         Ok(())
     }
 }
 
-/// Asks another node for what changed since `since`, or for all at 0.
+/// Requests the changes since `since` from another node; the whole list if `since` is 0.
 pub(crate) async fn fetch<P: Platform, C: Relayed<P>>(
     core: &Core<P>,
     node: &NodeId,
     since: Cursor,
     wait: Duration,
 ) -> Result<ListCopy<C>, RelayError> {
-    let peer = core.peer().ok_or(RelayError::None)?;
+    let peer = core.peer().ok_or(RelayError::NoCopy)?;
     let answered = peer.fetch_list(node, C::LIST, since, wait, RPC_SLACK).await;
     let reply = answered.map_err(|e| RelayError::NoAnswer(e.to_string()))?;
     let now = Instant::now();
     if reply.version == 0 {
-        return Err(RelayError::None);
+        return Err(RelayError::NoCopy);
     }
     let age = Duration::from_millis(reply.age_ms.into());
     let read = reply
@@ -382,7 +382,7 @@
             changes: changes.map_err(RelayError::Malformed)?,
             version: reply.version,
             as_of: now.checked_sub(age).unwrap_or(now),
-            whole: reply.is_snapshot,
+            is_snapshot: reply.is_snapshot,
         },
         encoded: reply.changes,
         age,
