--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping a node.
+//! Start and graceful shutdown of a node.
 
 use std::io;
 use std::sync::{Arc, Mutex};
@@ -21,41 +21,40 @@
 use crate::server::{self, OpenConnections};
 use crate::{configuration, leader, loss_detection, node_api};
 
-/// After the signal to stop new connections are still taken for this long, in which
-/// callers' answers with this node's address run out: they keep them for the time that
-/// they are told, and some three times as long.
+/// How long new connections are still accepted after the signal to stop, in multiples of the
+/// address TTL: callers keep this node's address for the TTL, and some for three times as long.
 const OPEN_PORT_TTLS: u32 = 3;
-/// Part of the grace in which new connections are still taken, at most.
+/// Largest part of the grace period in which new connections are still accepted.
 const MAX_OPEN_PORT_RATIO: f64 = 0.4;
-/// Part of the grace after which a node has ended. The rest is for the exit of its process.
+/// Part of the grace period after which a node has stopped. The rest is for the process to exit.
 const GRACE_RATIO: f64 = 0.95;
-/// The end of that period, in which callers get an error for answers that are cut off.
+/// The end of that part, in which callers get an error for requests that are aborted.
 const SHUTDOWN_NOTICE: Duration = Duration::from_millis(150);
-/// How often a stopping node looks whether it is done.
-const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How often a stopping node checks whether its connections are closed.
+const DRAIN_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a node did not start.
+/// Why a node failed to start.
 #[derive(Debug, thiserror::Error)]
 pub enum GatewayError {
     /// An address can't be listened on.
     #[error("can't listen on {0}: {1}")]
     Listen(std::net::SocketAddr, #[source] io::Error),
-    /// The port for other nodes can't be used.
-    #[error("can't reach other nodes: {0}")]
+    /// The peer protocol can't be started.
+    #[error("can't start the peer protocol: {0}")]
     Peers(#[from] PeerError),
 }
 
-/// A node that runs.
+/// A running node.
 pub struct Gateway<P: Platform> {
     core: Arc<Core<P>>,
-    open: Arc<OpenConnections>,
-    /// Takes callers' connections until the port closes.
-    port: Mutex<Option<JoinHandle<()>>>,
+    connections: Arc<OpenConnections>,
+    /// Accepts callers' connections until the port closes.
+    accept_loop: Mutex<Option<JoinHandle<()>>>,
     peer: Arc<PeerNode<Peers<P>>>,
 }
 
 impl<P: Platform> Gateway<P> {
-    /// Listens, and starts everything on the current runtime.
+    /// Binds the listeners and starts all tasks on the current runtime.
     ///
     /// # Errors
     /// When an address can't be listened on.
@@ -70,68 +69,68 @@
         let ready = listen(addresses.ready).await?;
         let directory = listen(addresses.directory).await?;
         let peer = peers::start(&core, incarnation(), &Handle::current())?;
-        let open = Arc::new(OpenConnections::default());
-        let port = serve_callers(&core, callers, Arc::clone(&open));
+        let connections = Arc::new(OpenConnections::default());
+        let accept_loop = serve_callers(&core, callers, Arc::clone(&connections));
         serve_node_api(&core, ready);
         serve_node_api(&core, directory);
-        spawn_loops(&core);
+        spawn_tasks(&core);
         Ok(Gateway {
             core,
-            open,
-            port: Mutex::new(Some(port)),
+            connections,
+            accept_loop: Mutex::new(Some(accept_loop)),
             peer,
         })
     }
 
-    /// Stops: leaves the addresses first, then ends connections between requests, and
-    /// gives those that run their time. `false` when some still ran at the end.
+    /// Stops gracefully: withdraws this node's address, then closes connections between requests,
+    /// and lets running requests finish. `false` if some still ran at the end.
     pub async fn stop(&self) -> bool {
         let shutdown = self.core.begin_shutdown(self.shutdown_from(Instant::now()));
         peers::publish_status(&self.core);
-        info!(event = "stop", connections = self.open.count());
-        self.wait_until(shutdown.closes()).await;
+        info!(event = "stop", connections = self.connections.count());
+        self.wait_drained(shutdown.closes()).await;
         self.core.stopping.send_replace(true);
-        self.port_closed().await;
+        self.wait_port_closed().await;
         info!(
             event = "stop",
             outcome = "port closed",
-            connections = self.open.count()
+            connections = self.connections.count()
         );
-        let done = self.wait_until(shutdown.ends()).await;
+        let done = self.wait_drained(shutdown.ends()).await;
         if !done {
             self.core.signal_exit();
-            self.wait_until(shutdown.ends() + SHUTDOWN_NOTICE).await;
+            self.wait_drained(shutdown.ends() + SHUTDOWN_NOTICE).await;
         }
         self.peer.stop();
         done
     }
 
-    /// Waits until no connection is taken any more. One that is taken in the last moment must
-    /// count: the process would exit with its request.
-    async fn port_closed(&self) {
-        let port = locked(&self.port).take();
-        if let Some(port) = port {
-            // It ends by returning or with the runtime.
-            let _ = port.await;
+    /// Waits until no more connections are accepted. One that is accepted at the last moment must
+    /// be counted, or the process would exit during its request.
+    async fn wait_port_closed(&self) {
+        let accept_loop = locked(&self.accept_loop).take();
+        if let Some(accept_loop) = accept_loop {
+            // A join error means that the runtime is shutting down.
+            let _ = accept_loop.await;
         }
     }
 
-    fn shutdown_from(&self, told: Instant) -> Shutdown {
+    fn shutdown_from(&self, signalled_at: Instant) -> Shutdown {
         let cfg = &self.core.cfg;
-        let kept = cfg.address_ttl * OPEN_PORT_TTLS;
-        let open = kept.min(cfg.grace.mul_f64(MAX_OPEN_PORT_RATIO));
-        let all = cfg.grace.mul_f64(GRACE_RATIO);
-        Shutdown::new(told, open, all.saturating_sub(SHUTDOWN_NOTICE))
+        let addresses_expire = cfg.address_ttl * OPEN_PORT_TTLS;
+        let open = addresses_expire.min(cfg.grace.mul_f64(MAX_OPEN_PORT_RATIO));
+        let total = cfg.grace.mul_f64(GRACE_RATIO);
+        Shutdown::new(signalled_at, open, total.saturating_sub(SHUTDOWN_NOTICE))
     }
 
-    /// Waits until no connection is open or `end` is reached; whether none is.
-    async fn wait_until(&self, end: Instant) -> bool {
-        // Callers that keep their connections are still being told where else to go.
-        while self.open.count() > 0 || !*self.core.stopping.borrow() {
+    /// Waits until no connection is open or `end` is reached. Returns whether none is open.
+    async fn wait_drained(&self, end: Instant) -> bool {
+        // Before the port closes, callers with open connections still have to learn of other nodes.
+        while self.connections.count() > 0 || !*self.core.stopping.borrow() {
             if Instant::now() >= end {
-                return self.open.count() == 0;
+                return self.connections.count() == 0;
             }
-            tokio::time::sleep(POLL_INTERVAL).await;
+            tokio::time::sleep(DRAIN_CHECK_INTERVAL).await;
         }
         true
     }
@@ -143,7 +142,8 @@
         .map_err(|err| GatewayError::Listen(address, err))
 }
 
-/// This start of the node; a later one is higher unless the time of day jumped back.
+/// Identifies this start of the node; later starts have a higher value unless the wall clock was
+/// set back.
 fn incarnation() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -154,43 +154,53 @@
 fn serve_callers<P: Platform>(
     core: &Arc<Core<P>>,
     listener: TcpListener,
-    open: Arc<OpenConnections>,
+    connections: Arc<OpenConnections>,
 ) -> JoinHandle<()> {
-    let (for_limits, for_calls) = (Arc::clone(core), Arc::clone(core));
+    let (for_limits, for_requests) = (Arc::clone(core), Arc::clone(core));
     let stopping = core.stopping.subscribe();
     let limits = move || server::limits(&*for_limits);
     tokio::spawn(server::listen(
         listener,
-        open,
+        connections,
         limits,
         stopping,
-        move |req| server::handle(Arc::clone(&for_calls), req),
+        move |req| server::handle(Arc::clone(&for_requests), req),
     ))
 }
 
-/// Serves questions to the node itself until the process ends.
+/// Serves requests to the node itself until the process ends.
 fn serve_node_api<P: Platform>(core: &Arc<Core<P>>, listener: TcpListener) {
-    let (for_limits, for_calls) = (Arc::clone(core), Arc::clone(core));
+    let (for_limits, for_requests) = (Arc::clone(core), Arc::clone(core));
     let (never, stopping) = tokio::sync::watch::channel(false);
     let limits = move || server::limits(&*for_limits);
-    let open = Arc::new(OpenConnections::default());
+    let connections = Arc::new(OpenConnections::default());
     tokio::spawn(async move {
         let _never = never;
-        server::listen(listener, open, limits, stopping, move |req| {
-            node_api::handle(Arc::clone(&for_calls), req)
+        server::listen(listener, connections, limits, stopping, move |req| {
+            node_api::handle(Arc::clone(&for_requests), req)
         })
         .await;
     });
 }
 
-fn spawn_loops<P: Platform>(core: &Arc<Core<P>>) {
-    let at = Arc::clone(core);
+fn spawn_tasks<P: Platform>(core: &Arc<Core<P>>) {
+    let shared = Arc::clone(core);
     tokio::spawn(async move {
-        reflector::run(&*at, at.platform.hosts(), &HostSink(Arc::clone(&at))).await;
+        reflector::run(
+            &*shared,
+            shared.platform.hosts(),
+            &HostSink(Arc::clone(&shared)),
+        )
+        .await;
     });
-    let at = Arc::clone(core);
+    let shared = Arc::clone(core);
     tokio::spawn(async move {
-        reflector::run(&*at, at.platform.operator(), &OperatorSink(Arc::clone(&at))).await;
+        reflector::run(
+            &*shared,
+            shared.platform.operator(),
+            &OperatorSink(Arc::clone(&shared)),
+        )
+        .await;
     });
     tokio::spawn(configuration::fetch_from_peers(Arc::clone(core)));
     tokio::spawn(leader::run(Arc::clone(core)));
--- a/crates/gateway/src/list_codec.rs
+++ b/crates/gateway/src/list_codec.rs
@@ -51,7 +51,7 @@
 
     use super::*;
 
-    /// Hosts of the largest fleet in service.
+    /// Hosts of the largest fleet in service, with names and addresses as platforms assign them.
     const HOSTS: u64 = 2640;
     /// The slowest link of a node, in bytes a second.
     const SLOW_LINK: f64 = 20e6 / 8.0;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! The port for callers' requests.
+//! The HTTP server for callers' requests.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -26,28 +26,28 @@
 use crate::refusal::{Refusal, RefusalCause};
 use crate::{dispatch, stream};
 
-/// Limits before any configuration is known, those of a usual one.
-const FIRST_LIMITS: CallerLimits = CallerLimits {
+/// Limits before any configuration is known; typical values of a configuration.
+const DEFAULT_LIMITS: CallerLimits = CallerLimits {
     header_bytes: 16 << 10,
     body_bytes: 4 << 20,
     header_timeout: Duration::from_secs(3),
     idle_timeout: Duration::from_secs(15),
 };
-/// A caller that says no timeout is kept waiting this long at most.
+/// Timeout of a request whose caller sends none.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
-/// When a caller should come back to a node that knows nothing yet. Nodes load within a
-/// second of their start.
-const RETRY_AFTER_START: Duration = Duration::from_millis(300);
-/// When a caller should come back that asked a node that leaves: at once, at another one.
+/// Retry-After of a node that has no configuration or hosts yet. Nodes load them within a second of
+/// their start.
+const RETRY_AFTER_NOT_LOADED: Duration = Duration::from_millis(300);
+/// Retry-After of a node that is leaving: the caller should retry at once at another node.
 const RETRY_AFTER_LEAVING: Duration = Duration::ZERO;
-/// Pause after a failure to take a connection, such as no free descriptor.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// What an attempt that ends with its call's time may take to say so.
+/// Pause after a failure to accept a connection, such as no free file descriptor.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Allowance beyond the deadline for an attempt to report that the deadline was exceeded.
 const FINAL_REPLY_MARGIN: Duration = Duration::from_millis(40);
-/// Smallest buffer that hyper accepts.
-const MIN_BUFFER: usize = 8 << 10;
+/// Smallest buffer size that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 << 10;
 
-/// Connections that are open.
+/// Number of open connections.
 #[derive(Debug, Default)]
 pub(crate) struct OpenConnections(AtomicUsize);
 
@@ -57,22 +57,23 @@
     }
 }
 
-struct Counted(Arc<OpenConnections>);
+struct ConnectionGuard(Arc<OpenConnections>);
 
-impl Counted {
-    fn new(open: &Arc<OpenConnections>) -> Counted {
+impl ConnectionGuard {
+    fn new(open: &Arc<OpenConnections>) -> ConnectionGuard {
         open.0.fetch_add(1, Ordering::Relaxed);
-        Counted(Arc::clone(open))
+        ConnectionGuard(Arc::clone(open))
     }
 }
 
-impl Drop for Counted {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.0.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// Serves connections with `service` until told to stop; then each ends after what it does.
+/// Accepts and serves connections until `stopping` is set. Each open connection then closes after
+/// its current request.
 pub(crate) async fn listen<S, F>(
     listener: TcpListener,
     open: Arc<OpenConnections>,
@@ -90,50 +91,50 @@
         };
         match accepted {
             Ok((stream, _)) => {
-                let counted = Counted::new(&open);
+                let guard = ConnectionGuard::new(&open);
                 let stopping = stopping.clone();
-                tokio::spawn(connection(
+                tokio::spawn(serve_connection(
                     stream,
                     limits(),
                     stopping,
                     service.clone(),
-                    counted,
+                    guard,
                 ));
             }
             Err(err) => {
                 warn!(event = "accept", %err);
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// Waits for the sign to stop; the node that gives it going away is the same.
+/// Waits until `stopping` is set or its sender is dropped.
 async fn wait_for_stop(stopping: &mut watch::Receiver<bool>) {
     let _ = stopping.wait_for(|stop| *stop).await;
 }
 
-async fn connection<S, F>(
+async fn serve_connection<S, F>(
     stream: TcpStream,
     limits: CallerLimits,
     mut stopping: watch::Receiver<bool>,
     service: S,
-    _counted: Counted,
+    _counted: ConnectionGuard,
 ) where
     S: Fn(Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Result<Response<ResponseBody>, Infallible>> + Send + 'static,
 {
     if let Err(err) = stream.set_nodelay(true) {
-        // The caller has already gone.
-        tracing::debug!(%err, "connection lost before its first request");
+        // The caller has already disconnected.
+        tracing::debug!(%err, "connection closed before its first request");
         return;
     }
     let mut builder = http1::Builder::new();
     builder
         .timer(TokioTimer::new())
-        // hyper counts the time between two requests as time for a head too.
+        // hyper's header timeout includes the idle time between two requests.
         .header_read_timeout(limits.idle_timeout.max(limits.header_timeout))
-        .max_buf_size(limits.header_bytes.max(MIN_BUFFER));
+        .max_buf_size(limits.header_bytes.max(MIN_BUFFER_BYTES));
     let conn = builder.serve_connection(TokioIo::new(stream), service_fn(service));
     tokio::pin!(conn);
     let ended = tokio::select! {
@@ -143,18 +144,18 @@
             conn.await
         }
     };
-    // Callers that leave, and answers that are cut off, end connections with an error.
+    // Callers that disconnect, and truncated responses, end connections with an error.
     if let Err(err) = ended {
         tracing::debug!(%err, "connection ended");
     }
 }
 
-/// What callers may send under the configuration in force.
+/// Limits of callers' requests in the configuration in force.
 pub(crate) fn limits<P: Platform>(core: &Core<P>) -> CallerLimits {
-    core.catalog().limits().cloned().unwrap_or(FIRST_LIMITS)
+    core.catalog().limits().cloned().unwrap_or(DEFAULT_LIMITS)
 }
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn handle<P: Platform>(
     core: Arc<Core<P>>,
     req: Request<Incoming>,
@@ -166,7 +167,7 @@
         Err(refusal) => refusal.into_response(),
     };
     if core.is_leaving() {
-        // The caller opens its next connection to a node that stays.
+        // Makes the caller open its next connection to another node.
         response
             .headers_mut()
             .insert(header::CONNECTION, HeaderValue::from_static("close"));
@@ -181,7 +182,7 @@
 ) -> Result<Response<ResponseBody>, Refusal> {
     let read = tokio::select! {
         read = read_call(core, req, arrived) => read,
-        // Nothing was sent of what has not been read yet.
+        // A request that isn't read completely was not sent to any host.
         () = core.wait_for_exit() => Err(Refusal::later(RefusalCause::NodeLeaving, RETRY_AFTER_LEAVING)),
     };
     let call = match read {
@@ -200,10 +201,10 @@
     };
     let result = tokio::select! {
         result = run(core, &call) => result,
-        // Signals the caller not to wait for more.
+        // Tells the caller not to wait for a response.
         () = core.wait_for_exit() => Err(Refusal::new(RefusalCause::NodeExiting)),
     };
-    note(core, &call, kind, &result);
+    record_result(core, &call, kind, &result);
     result
 }
 
@@ -211,8 +212,8 @@
     core: &Arc<Core<P>>,
     call: &Arc<Call>,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    // Not before the body is read: closing a connection with unread bytes resets it, and the
-    // caller may never see this answer.
+    // Only after the body is read: closing a connection with unread bytes resets it, and the
+    // caller may never see this response.
     if !core.may_start(call.deadline + FINAL_REPLY_MARGIN) {
         return Err(Refusal::later(
             RefusalCause::NodeLeaving,
@@ -223,12 +224,12 @@
         return stream::run(core, call).await;
     }
     let all = tokio::time::timeout(call.left() + FINAL_REPLY_MARGIN, dispatch::run(core, call));
-    // The attempt that was under way may have run.
+    // The attempt in progress may have run.
     all.await
         .unwrap_or_else(|_| Err(Refusal::new(RefusalCause::ResponseTimeout)))
 }
 
-fn note<P: Platform>(
+fn record_result<P: Platform>(
     core: &Core<P>,
     call: &Call,
     kind: &str,
@@ -271,7 +272,10 @@
     arrived: Instant,
 ) -> Result<Call, Refusal> {
     if !core.is_loaded() {
-        return Err(Refusal::later(RefusalCause::NotLoaded, RETRY_AFTER_START));
+        return Err(Refusal::later(
+            RefusalCause::NotLoaded,
+            RETRY_AFTER_NOT_LOADED,
+        ));
     }
     let (parts, body) = req.into_parts();
     let catalog = core.catalog();
@@ -280,23 +284,25 @@
         .get(header::HOST)
         .and_then(|h| h.to_str().ok());
     let host = host.or_else(|| parts.uri.host()).unwrap_or_default();
-    let route = catalog.route(host, parts.uri.path()).map_err(refused)?;
+    let route = catalog
+        .route(host, parts.uri.path())
+        .map_err(route_refusal)?;
     let key = core.platform.dialect().api_key(&parts.headers);
-    let caller = catalog.caller(route, key).map_err(refused)?;
+    let caller = catalog.caller(route, key).map_err(route_refusal)?;
     let metadata = core.platform.dialect().request_metadata(&parts.headers);
-    let patience = metadata
+    let timeout = metadata
         .timeout
         .unwrap_or(DEFAULT_TIMEOUT)
         .min(route.timeout);
-    let deadline = arrived + patience;
+    let deadline = arrived + timeout;
     let first_sent = first_sent(core, metadata.timeout, route.timeout, arrived);
     let path = parts
         .uri
         .path_and_query()
         .map_or("/", |p| p.as_str())
         .into();
-    let most = limits(core).body_bytes;
-    let body = read_body(body, most, deadline).await?;
+    let max_bytes = limits(core).body_bytes;
+    let body = read_body(body, max_bytes, deadline).await?;
     Ok(Call {
         metadata,
         method: parts.method,
@@ -311,32 +317,32 @@
     })
 }
 
-/// When the caller of a request that arrived just now is likely to have sent its first attempt.
+/// Estimates when the caller of a request that just arrived sent its first attempt.
 fn first_sent<P: Platform>(
     core: &Core<P>,
-    named: Option<Duration>,
-    usual: Duration,
+    client_timeout: Option<Duration>,
+    route_timeout: Duration,
     arrived: Instant,
 ) -> Instant {
-    let Some(named) = named else {
+    let Some(client_timeout) = client_timeout else {
         return arrived;
     };
     let mut patience = locked(&core.patience);
-    let waited = patience.since_first_attempt(named, usual);
-    patience.on_request(named, usual);
+    let waited = patience.since_first_attempt(client_timeout, route_timeout);
+    patience.on_request(client_timeout, route_timeout);
     arrived.checked_sub(waited).unwrap_or(arrived)
 }
 
-fn refused(refusal: RouteError) -> Refusal {
+fn route_refusal(refusal: RouteError) -> Refusal {
     Refusal::new(match refusal {
         RouteError::NoRoute => RefusalCause::NoRoute,
         RouteError::UnknownKey => RefusalCause::UnknownKey,
     })
 }
 
-async fn read_body(body: Incoming, most: usize, deadline: Instant) -> Result<Bytes, Refusal> {
+async fn read_body(body: Incoming, max_bytes: usize, deadline: Instant) -> Result<Bytes, Refusal> {
     let left = deadline.saturating_duration_since(Instant::now());
-    let read = tokio::time::timeout(left, Limited::new(body, most).collect()).await;
+    let read = tokio::time::timeout(left, Limited::new(body, max_bytes).collect()).await;
     match read {
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => {
