--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to callers.
+//! Bodies of responses to callers.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -8,10 +8,10 @@
 use hyper::body::{Body, Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// The answer was cut off. hyper then closes the connection without the end marker, so
-/// that the caller sees that its answer isn't whole.
+/// The response was cut off. hyper then closes the connection without the final chunk, so that the
+/// caller detects the incomplete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer was cut off")]
+#[error("the response was cut off")]
 pub(crate) struct Truncated;
 
 impl From<Infallible> for Truncated {
@@ -20,18 +20,18 @@
     }
 }
 
-/// What is handed on of a stream.
+/// A part of a forwarded stream.
 #[derive(Debug)]
 pub(crate) enum StreamChunk {
     Events(Bytes),
-    /// All events have come.
+    /// All events were sent.
     End,
 }
 
-/// The body of an answer.
+/// The body of a response.
 ///
-/// A stream is whole only if it was said to be: a channel that ends without [`StreamChunk::End`] is
-/// an answer that was cut off, also where its caller reads too slowly to be told of anything.
+/// A stream is complete only after [`StreamChunk::End`]: a channel that closes without it is a
+/// truncated response. A chunk for errors might not fit in the channel of a slow caller.
 #[derive(Debug)]
 pub(crate) enum ResponseBody {
     Full(Option<Bytes>),
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -1,4 +1,4 @@
-//! One request of a caller, decoded.
+//! A decoded request of a caller.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,45 +10,45 @@
 use smol_str::SmolStr;
 
 value! {
-    /// What a request's headers say.
+    /// Metadata of a request, from its headers.
     pub struct RequestMetadata {
-        /// The id of this attempt of the caller; empty where it has none.
+        /// The id of this attempt of the caller; empty if it has none.
         pub id: RequestId,
         /// How long the caller waits.
         pub timeout: Option<Duration>,
-        /// The model that must answer it, where it names one.
+        /// The requested model, if it names one.
         pub model: Option<ModelName>,
-        /// Tokens of its prompt; 0 where it doesn't say.
+        /// Tokens of its prompt; 0 if unknown.
         pub prompt_tokens: u64,
-        /// The last event that the caller has of this stream.
+        /// The id of the last event that the caller has of this stream.
         pub resume_after: Option<SmolStr>,
     }
 }
 
-/// A request on its way.
+/// A request in progress.
 #[derive(Clone, Debug)]
 pub(crate) struct Call {
     pub(crate) metadata: RequestMetadata,
     pub(crate) method: Method,
-    /// Path and query as the caller wrote them.
+    /// Path and query as the caller sent them.
     pub(crate) path: SmolStr,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
     pub(crate) route: Arc<Route>,
     pub(crate) caller: Option<Arc<Caller>>,
     pub(crate) arrived: Instant,
-    /// When its caller is likely to have sent its first attempt; no later than `arrived`.
+    /// Estimate of when its caller sent its first attempt; no later than `arrived`.
     pub(crate) first_sent: Instant,
-    /// When its caller gives up or its route's timeout is over, whichever is first.
+    /// The end of the caller's or the route's timeout, whichever is first.
     pub(crate) deadline: Instant,
 }
 
 impl Call {
-    pub(crate) fn left(&self) -> Duration {
+    pub(crate) fn remaining(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// Until then an answer is on time.
+    /// The time until which a response meets the route's latency target.
     pub(crate) fn on_time_until(&self) -> Instant {
         self.first_sent + self.route.latency_objective
     }
@@ -61,7 +61,7 @@
         self.caller.as_ref().map(|c| c.tenant.clone())
     }
 
-    /// The tenant's urgency goes before the route's.
+    /// The tenant's urgency if it has one, else the route's.
     pub(crate) fn urgency(&self) -> u8 {
         let caller = self.caller.as_ref().and_then(|c| c.urgency);
         caller.unwrap_or(self.route.urgency)
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -69,7 +69,7 @@
     let mut delivered = 0;
     let mut fallback = None;
     let mut refused = RefusalCause::HostsRefused;
-    while !call.left().is_zero() {
+    while !call.remaining().is_zero() {
         let Some(host) = pick_host(core, &service, &tried) else {
             break;
         };
@@ -109,7 +109,7 @@
 /// The refusal of a call that no host answered. It states that the call didn't run only where
 /// that is certain; the cause is then `refused` if the call reached a host at all.
 fn refusal_of(call: &Call, runs: u32, delivered: u32, refused: RefusalCause) -> Refusal {
-    let out_of_time = call.left().is_zero();
+    let out_of_time = call.remaining().is_zero();
     if runs > 0 {
         let cause = if out_of_time {
             RefusalCause::ResponseTimeout
@@ -130,7 +130,7 @@
 }
 
 fn attempt_timeout(call: &Call, runs: u32) -> Duration {
-    let left = call.left();
+    let left = call.remaining();
     if call.is_idempotent() && runs + 1 < call.route.attempts {
         left.min((call.route.latency_objective * ATTEMPT_TIMEOUT_IN_AIMS).max(left / 4))
     } else {
@@ -281,7 +281,7 @@
 ) -> TargetRequest {
     let attempt = AttemptMetadata {
         host: host.clone(),
-        timeout: call.left(),
+        timeout: call.remaining(),
         tenant: call.tenant(),
         urgency,
         resume_after,
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -223,7 +223,10 @@
     if call.route.stream.is_some() {
         return stream::run(core, call).await;
     }
-    let all = tokio::time::timeout(call.left() + FINAL_REPLY_MARGIN, dispatch::run(core, call));
+    let all = tokio::time::timeout(
+        call.remaining() + FINAL_REPLY_MARGIN,
+        dispatch::run(core, call),
+    );
     // The attempt in progress may have run.
     all.await
         .unwrap_or_else(|_| Err(Refusal::new(RefusalCause::ResponseTimeout)))
--- a/crates/gateway/src/sse.rs
+++ b/crates/gateway/src/sse.rs
@@ -1,12 +1,12 @@
-//! Cutting a byte stream into whole events.
+//! Splits a byte stream into complete server-sent events.
 
 use bytes::{Bytes, BytesMut};
 use smol_str::SmolStr;
 
-/// Gathers bytes of an event stream and gives out whole events only.
+/// Buffers an event stream and returns only complete events.
 ///
-/// A host that breaks off in the middle of an event must not leave half of it with the
-/// caller: the run that goes on elsewhere begins with that event anew.
+/// If a host's stream breaks in the middle of an event, the caller must not get half of it: the
+/// stream resumes at another replica with that event from its start.
 #[derive(Debug, Default)]
 pub(crate) struct EventSplitter {
     buf: BytesMut,
@@ -14,41 +14,41 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes; gives all events that are whole now, or nothing.
+    /// Adds bytes and returns all events that are complete by now.
     pub(crate) fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.buf.extend_from_slice(bytes);
-        let end = last_boundary(&self.buf)?;
-        let whole = self.buf.split_to(end).freeze();
-        if let Some(id) = last_id(&whole) {
+        let end = last_event_end(&self.buf)?;
+        let complete = self.buf.split_to(end).freeze();
+        if let Some(id) = last_id(&complete) {
             self.last_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     pub(crate) fn last_id(&self) -> Option<&SmolStr> {
         self.last_id.as_ref()
     }
 
-    /// Whether bytes of an unfinished event are held back.
-    pub(crate) fn is_mid_event(&self) -> bool {
+    /// Whether bytes of an incomplete event are buffered.
+    pub(crate) fn has_partial_event(&self) -> bool {
         !self.buf.is_empty()
     }
 
-    /// Drops the unfinished event before another run goes on.
-    pub(crate) fn restart(&mut self) {
+    /// Discards the incomplete event before the stream resumes.
+    pub(crate) fn discard_partial_event(&mut self) {
         self.buf.clear();
     }
 }
 
-/// The end of the last empty line.
-fn last_boundary(buf: &[u8]) -> Option<usize> {
-    let lf = find_last(buf, b"\n\n").map(|at| at + 2);
-    let crlf = find_last(buf, b"\r\n\r\n").map(|at| at + 4);
+/// The offset behind the last empty line.
+fn last_event_end(buf: &[u8]) -> Option<usize> {
+    let lf = rfind(buf, b"\n\n").map(|at| at + 2);
+    let crlf = rfind(buf, b"\r\n\r\n").map(|at| at + 4);
     lf.max(crlf)
 }
 
-fn find_last(buf: &[u8], what: &[u8]) -> Option<usize> {
+fn rfind(buf: &[u8], what: &[u8]) -> Option<usize> {
     buf.windows(what.len()).rposition(|w| w == what)
 }
 
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -89,7 +89,7 @@
     tx: &mpsc::Sender<StreamChunk>,
 ) -> StopReason {
     tokio::select! {
-        () = tokio::time::sleep(call.left()) => StopReason::DeadlineExceeded,
+        () = tokio::time::sleep(call.remaining()) => StopReason::DeadlineExceeded,
         () = tx.closed() => StopReason::CallerDisconnected,
         () = core.wait_for_exit() => StopReason::NodeExiting,
     }
@@ -169,7 +169,7 @@
     /// The refusal of a call that was tried. `cause` is for one that has not run, or that
     /// may run again.
     fn given_up(&self, cause: RefusalCause) -> Refusal {
-        let late = self.call.left().is_zero();
+        let late = self.call.remaining().is_zero();
         // A stream that may be resumed may run again, so its caller may come back.
         if self.runs > 0 && !self.call.is_idempotent() {
             let cause = if late {
@@ -203,7 +203,7 @@
         let urgency = Some(self.call.urgency().min(9));
         let req = target_request(&*self.core, &self.call, &head.host, urgency, resume);
         let sent = tokio::select! {
-            sent = self.core.http.send_within(&head.address, req, self.call.left()) => sent,
+            sent = self.core.http.send_within(&head.address, req, self.call.remaining()) => sent,
             () = head.wait_until_lost() => Err(SendError::Unknown("its replica was lost".to_owned())),
         };
         let response = match sent {
@@ -257,7 +257,7 @@
     fn failed(&mut self, slot: &mut SlotGuard<P>) -> AttemptError {
         self.avoid.push(slot.head.host.clone());
         // The end of the call's time, or a member that was lost, says nothing of the head.
-        let is_heads_fault = !self.call.left().is_zero() && !slot.head.is_lost();
+        let is_heads_fault = !self.call.remaining().is_zero() && !slot.head.is_lost();
         if is_heads_fault && !slot.has_started() {
             slot.failed();
         }
@@ -294,7 +294,7 @@
         headers: HeaderMap,
     ) -> Result<Response<ResponseBody>, Refusal> {
         let read = started.response.read_whole(MAX_FULL_BODY_BYTES);
-        let body = match tokio::time::timeout(self.call.left(), read).await {
+        let body = match tokio::time::timeout(self.call.remaining(), read).await {
             Ok(Ok(body)) => body,
             _ => {
                 self.failed(&mut started.slot);
@@ -325,7 +325,7 @@
             match end {
                 ReadEnd::Complete => return self.finish(&tx).await,
                 ReadEnd::Stopped(reason) => return self.abort(reason),
-                ReadEnd::Broken(_) => self.events.restart(),
+                ReadEnd::Broken(_) => self.events.discard_partial_event(),
             }
             let resumable = self.call.route.stream.as_ref().is_some_and(|s| s.resumable);
             if !resumable || !self.may_run_again() {
@@ -359,7 +359,7 @@
             };
             let bytes = match chunk {
                 Ok(Some(bytes)) => bytes,
-                Ok(None) if self.events.is_mid_event() => {
+                Ok(None) if self.events.has_partial_event() => {
                     return ReadEnd::Broken("it ended within an event".into());
                 }
                 Ok(None) => return ReadEnd::Complete,
