--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -222,7 +222,7 @@
 }
 
 fn full_refusal(cause: RefusalCause) -> Refusal {
-    Refusal::later(cause, RETRY_AFTER_FULL.mul_f64(1.0 + fastrand::f64()))
+    Refusal::with_retry_after(cause, RETRY_AFTER_FULL.mul_f64(1.0 + fastrand::f64()))
 }
 
 enum Choice {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,56 +1,56 @@
-//! What a node is told at its start.
+//! Configuration of a node at its start.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use eelgrassmill_base::{FailureDomain, NodeId, Region, value};
 
-/// The bound on repeats over all nodes.
+/// The retry budget of all nodes together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Any span of this length counts.
+    /// Length of the sliding window in which requests and retries are counted.
     pub window: Duration,
-    /// Repeats for each request of a caller.
+    /// Permitted retries per request of a caller.
     pub ratio: f64,
-    /// Repeats beside that, of all nodes together.
+    /// Permitted retries beyond that, of all nodes together.
     pub slack: f64,
 }
 
 value! {
-    /// Where a node listens, and which nodes it knows.
+    /// The addresses on which a node listens, and its seeds.
     pub struct Addresses {
         /// For callers' requests.
         pub callers: SocketAddr,
-        /// For questions whether the node is ready, and for metrics.
+        /// For readiness checks and metrics.
         pub ready: SocketAddr,
-        /// For callers that ask which addresses to use.
+        /// For callers that resolve the nodes' addresses.
         pub directory: SocketAddr,
         /// For other nodes.
         pub peers: SocketAddr,
-        /// Nodes to greet first.
+        /// Nodes to contact first.
         pub seeds: Vec<SocketAddr>,
     }
 }
 
-/// How a node takes part.
+/// A node's configuration.
 #[derive(Clone, Debug)]
 pub struct GatewayConfig {
-    /// Its name.
+    /// Its name, unique over all nodes.
     pub node: NodeId,
     /// Its region.
     pub region: Region,
     /// Its failure domain.
     pub failure_domain: FailureDomain,
-    /// Processor that it may use, in thousandths of a core; 0 where that isn't known.
+    /// CPU that it may use, in thousandths of a core; 0 if unknown.
     pub processor: u32,
-    /// Where it listens.
+    /// Its addresses and seeds.
     pub addresses: Addresses,
-    /// The bound on repeats.
+    /// The retry budget.
     pub retries: RetryBudgetConfig,
-    /// From the signal to stop until the process is killed.
+    /// Grace period, from the signal to stop until the process is killed.
     pub grace: Duration,
-    /// How long callers keep an answer with addresses.
+    /// How long callers may cache resolved addresses.
     pub address_ttl: Duration,
-    /// Whether the whole system starts for the first time.
+    /// Whether the whole system starts for the first time, so that model loads are fast.
     pub first_start: bool,
 }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -126,7 +126,7 @@
     } else {
         RefusalCause::NoHealthyTarget
     };
-    Refusal::later(cause, RETRY_AFTER_FULL)
+    Refusal::with_retry_after(cause, RETRY_AFTER_FULL)
 }
 
 fn attempt_timeout(call: &Call, runs: u32) -> Duration {
@@ -145,7 +145,7 @@
 ) -> Result<ServiceName, Refusal> {
     let services = &call.route.services;
     let total: u32 = services.iter().map(|(_, weight)| *weight).sum();
-    let unavailable = || Refusal::later(RefusalCause::NoHealthyTarget, RETRY_AFTER_FULL);
+    let unavailable = || Refusal::with_retry_after(RefusalCause::NoHealthyTarget, RETRY_AFTER_FULL);
     let mut at = fastrand::u32(0..total.max(1));
     let mut chosen = None;
     for (service, weight) in services {
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that a node gives by itself.
+//! Error responses that a node sends itself.
 
 use std::time::Duration;
 
@@ -9,41 +9,41 @@
 use crate::body::ResponseBody;
 
 value! { copy
-    /// Why a request got no answer of a host.
+    /// Why a request got no response from a host.
     pub enum RefusalCause {
-        /// This node knows no configuration or no hosts yet.
+        /// This node has no configuration or no hosts yet.
         NotLoaded,
-        /// No route takes it.
+        /// No route matches it.
         NoRoute,
         /// Its key is missing or unknown.
         UnknownKey,
         /// Its body is longer than the limit.
         BodyTooLarge,
-        /// Its body did not come in time or broke off.
+        /// Its body did not arrive in time or is incomplete.
         BodyIncomplete,
-        /// It may outlast this node, which was told to stop.
+        /// It could run longer than this node, which is stopping.
         NodeLeaving,
-        /// No host or replica can serve it now.
+        /// No host or replica is available for it.
         NoHealthyTarget,
-        /// All are full.
+        /// All replicas are full.
         Full,
         /// Hosts refused it, and no further attempt is permitted.
         HostsRefused,
-        /// It would have to be sent again, and the bound on repeats is reached.
+        /// It needs a retry, and the retry budget is exhausted.
         RetryBudgetExhausted,
-        /// Its time was over before it was sent to a host.
+        /// Its deadline passed before a host received it.
         DeadlineExceeded,
-        /// It was sent, and no answer came in time.
+        /// It was sent, and no response arrived before its deadline.
         ResponseTimeout,
-        /// It was sent, and the answer broke off or was of no use.
+        /// It was sent, and the response was truncated or invalid.
         BrokenResponse,
-        /// This node exits and may have sent it.
+        /// This node is about to exit and may have sent it.
         NodeExiting,
     }
 }
 
 impl RefusalCause {
-    /// The word for it in logs and metrics.
+    /// Its name in logs, metrics and error responses.
     pub fn name(self) -> &'static str {
         match self {
             RefusalCause::NotLoaded => "not-loaded",
@@ -57,8 +57,8 @@
             RefusalCause::HostsRefused => "hosts-refused",
             RefusalCause::RetryBudgetExhausted => "no-repeats-left",
             RefusalCause::DeadlineExceeded => "out-of-time",
-            RefusalCause::ResponseTimeout => "no-answer-in-time",
-            RefusalCause::BrokenResponse => "answer-broken",
+            RefusalCause::ResponseTimeout => "no-response-in-time",
+            RefusalCause::BrokenResponse => "response-broken",
             RefusalCause::NodeExiting => "node-ends",
         }
     }
@@ -83,17 +83,17 @@
 }
 
 value! { copy
-    /// The final answer to a request that was given up.
+    /// The final error response to a request.
     pub struct Refusal {
-        /// Why.
+        /// Why the request was refused.
         pub cause: RefusalCause,
-        /// When the caller should come back. Only for requests that have not run.
+        /// Retry-After. Only for requests that have not run or may run again.
         pub retry_after: Option<Duration>,
     }
 }
 
 impl Refusal {
-    /// A refusal with nothing to wait for.
+    /// A refusal without Retry-After.
     pub fn new(cause: RefusalCause) -> Refusal {
         Refusal {
             cause,
@@ -101,29 +101,29 @@
         }
     }
 
-    /// A refusal of a request that has not run, and when to come back.
-    pub fn later(cause: RefusalCause, wait: Duration) -> Refusal {
+    /// A refusal with Retry-After.
+    pub fn with_retry_after(cause: RefusalCause, wait: Duration) -> Refusal {
         Refusal {
             cause,
             retry_after: Some(wait),
         }
     }
 
-    /// As an HTTP answer.
+    /// Converts it to an HTTP response.
     pub(crate) fn into_response(self) -> Response<ResponseBody> {
         let text = format!("{{\"error\":\"{}\"}}", self.cause.name());
-        let mut answer = Response::new(ResponseBody::full(Bytes::from(text)));
-        *answer.status_mut() = self.cause.status();
-        let headers = answer.headers_mut();
+        let mut response = Response::new(ResponseBody::full(Bytes::from(text)));
+        *response.status_mut() = self.cause.status();
+        let headers = response.headers_mut();
         headers.insert(
             header::CONTENT_TYPE,
             HeaderValue::from_static("application/json"),
         );
         let seconds = self.retry_after.map(|w| format!("{:.2}", w.as_secs_f64()));
-        // Digits and a point are always a valid header value.
+        // Digits and a decimal point are always a valid header value.
         if let Some(value) = seconds.and_then(|s| HeaderValue::from_str(&s).ok()) {
             headers.insert(header::RETRY_AFTER, value);
         }
-        answer
+        response
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -183,7 +183,7 @@
     let read = tokio::select! {
         read = read_call(core, req, arrived) => read,
         // A request that isn't read completely was not sent to any host.
-        () = core.wait_for_exit() => Err(Refusal::later(RefusalCause::NodeLeaving, RETRY_AFTER_LEAVING)),
+        () = core.wait_for_exit() => Err(Refusal::with_retry_after(RefusalCause::NodeLeaving, RETRY_AFTER_LEAVING)),
     };
     let call = match read {
         Ok(call) => Arc::new(call),
@@ -215,7 +215,7 @@
     // Only after the body is read: closing a connection with unread bytes resets it, and the
     // caller may never see this response.
     if !core.may_start(call.deadline + FINAL_REPLY_MARGIN) {
-        return Err(Refusal::later(
+        return Err(Refusal::with_retry_after(
             RefusalCause::NodeLeaving,
             RETRY_AFTER_LEAVING,
         ));
@@ -275,7 +275,7 @@
     arrived: Instant,
 ) -> Result<Call, Refusal> {
     if !core.is_loaded() {
-        return Err(Refusal::later(
+        return Err(Refusal::with_retry_after(
             RefusalCause::NotLoaded,
             RETRY_AFTER_NOT_LOADED,
         ));
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,4 +1,4 @@
-//! Requests that are answered with a stream of events.
+//! Requests whose response is a stream of events.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,68 +22,68 @@
 use crate::refusal::{Refusal, RefusalCause};
 use crate::sse::EventSplitter;
 
-/// Pieces that wait for a slow caller before its stream stops reading from the host.
+/// Chunks that are buffered for a slow caller before its stream stops reading from the host.
 const STREAM_BUFFER_CHUNKS: usize = 64;
-/// Refusals by hosts after which a call is given up: each showed a host that was
-/// fuller than it looked, and by then the picture is a second old.
+/// Refusals by hosts after which a call is refused: each came from a host that was fuller than
+/// reported, and by then the load reports are a second old.
 const MAX_REFUSALS: u32 = 4;
-/// When a caller should come back whose request hosts refused.
+/// Retry-After when hosts refused a request.
 const RETRY_AFTER_REFUSED: Duration = Duration::from_millis(300);
-/// Longest answer of a host that is no stream.
+/// Longest response of a host that isn't a stream, in bytes.
 const MAX_FULL_BODY_BYTES: usize = 1 << 20;
 
-/// One call's way through one or more replicas.
-struct Run<P: Platform> {
+/// A call with its attempts at one or more replicas.
+struct StreamCall<P: Platform> {
     core: Arc<Core<P>>,
     call: Arc<Call>,
     service: ServiceName,
     model: ModelName,
-    /// Hosts on which it failed or was refused.
+    /// Hosts at which it failed or was refused.
     avoid: SmallVec<[HostId; 4]>,
     /// Hosts at which it may have run.
     runs: u32,
-    /// Times that it arrived at a host.
-    arrivals: u32,
+    /// Attempts that reached a host.
+    deliveries: u32,
     refusals: u32,
     events: EventSplitter,
 }
 
-/// An answer that has started.
+/// A response whose headers have arrived.
 struct StartedResponse<P: Platform> {
     slot: SlotGuard<P>,
     response: TargetResponse,
 }
 
-/// Why an attempt brought no answer.
+/// Why an attempt got no response.
 enum AttemptError {
     /// No host ran it.
     NotRun,
-    /// One may have.
+    /// A host may have run it.
     Unknown,
 }
 
-/// How reading an answer ended.
+/// How reading a response ended.
 enum ReadEnd {
-    /// Its end was reached.
+    /// It was read to its end.
     Complete,
-    /// It broke off or its replica was lost.
+    /// Its connection broke or its replica was lost.
     Broken(SmolStr),
-    /// There is no reason to go on.
+    /// Reading was stopped.
     Stopped(StopReason),
 }
 
-/// Why an answer has no reason to go on.
+/// Why a response is no longer forwarded.
 enum StopReason {
-    /// The call's time is over.
+    /// The call's deadline has passed.
     DeadlineExceeded,
-    /// The caller has left.
+    /// The caller has disconnected.
     CallerDisconnected,
-    /// This node exits.
+    /// This node is about to exit.
     NodeExiting,
 }
 
-/// Waits until an answer has no reason to go on.
-async fn stopped<P: Platform>(
+/// Waits until a response should no longer be forwarded.
+async fn wait_for_stop<P: Platform>(
     core: &Core<P>,
     call: &Call,
     tx: &mpsc::Sender<StreamChunk>,
@@ -95,7 +95,7 @@
     }
 }
 
-/// Serves a call whose answer is a stream.
+/// Serves a call whose response is a stream.
 pub(crate) async fn run<P: Platform>(
     core: &Arc<Core<P>>,
     call: &Arc<Call>,
@@ -103,34 +103,34 @@
     let service = pick_service(core, call)?;
     core.count_for_retry_budget(&service);
     let model = call.metadata.model.clone().unwrap_or_default();
-    let mut run = Run {
+    let mut stream = StreamCall {
         core: Arc::clone(core),
         call: Arc::clone(call),
         service,
         model,
         avoid: SmallVec::new(),
         runs: 0,
-        arrivals: 0,
+        deliveries: 0,
         refusals: 0,
         events: EventSplitter::default(),
     };
-    let started = run.begin().await?;
-    run.forward(started).await
+    let started = stream.start_response().await?;
+    stream.forward(started).await
 }
 
-impl<P: Platform> Run<P> {
-    /// Brings the call to a replica that begins to answer it.
-    async fn begin(&mut self) -> Result<StartedResponse<P>, Refusal> {
+impl<P: Platform> StreamCall<P> {
+    /// Attempts the call at replicas until one starts a response.
+    async fn start_response(&mut self) -> Result<StartedResponse<P>, Refusal> {
         loop {
             let slot = self.acquire_slot().await?;
-            if self.arrivals > 0 && !self.core.try_retry(&self.service, self.retry_reason()) {
-                return Err(self.given_up(RefusalCause::RetryBudgetExhausted));
+            if self.deliveries > 0 && !self.core.try_retry(&self.service, self.retry_reason()) {
+                return Err(self.refusal(RefusalCause::RetryBudgetExhausted));
             }
             match self.attempt(slot).await {
                 Ok(started) => return Ok(started),
                 Err(AttemptError::NotRun) if self.refusals < MAX_REFUSALS => {}
-                Err(AttemptError::Unknown) if self.may_run_again() => {}
-                Err(_) => return Err(self.given_up(RefusalCause::HostsRefused)),
+                Err(AttemptError::Unknown) if self.may_retry() => {}
+                Err(_) => return Err(self.refusal(RefusalCause::HostsRefused)),
             }
         }
     }
@@ -147,7 +147,7 @@
         .await;
         admitted.map_err(|refusal| {
             if self.runs > 0 {
-                self.given_up(refusal.cause)
+                self.refusal(refusal.cause)
             } else {
                 refusal
             }
@@ -162,15 +162,14 @@
         }
     }
 
-    fn may_run_again(&self) -> bool {
+    fn may_retry(&self) -> bool {
         self.call.is_idempotent() && self.runs < self.call.route.attempts
     }
 
-    /// The refusal of a call that was tried. `cause` is for one that has not run, or that
-    /// may run again.
-    fn given_up(&self, cause: RefusalCause) -> Refusal {
+    /// The refusal of a call after an attempt. `cause` applies if it has not run or may be retried.
+    fn refusal(&self, cause: RefusalCause) -> Refusal {
         let late = self.call.remaining().is_zero();
-        // A stream that may be resumed may run again, so its caller may come back.
+        // The caller of an idempotent call may retry it even if it has run.
         if self.runs > 0 && !self.call.is_idempotent() {
             let cause = if late {
                 RefusalCause::ResponseTimeout
@@ -187,7 +186,7 @@
             };
             return Refusal::new(cause);
         }
-        Refusal::later(cause, RETRY_AFTER_REFUSED)
+        Refusal::with_retry_after(cause, RETRY_AFTER_REFUSED)
     }
 
     async fn attempt(
@@ -213,12 +212,12 @@
                 return Err(self.rejected(&mut slot));
             }
             Err(err) => {
-                self.arrivals += 1;
+                self.deliveries += 1;
                 self.log_attempt(&head, "unknown", &err.to_string());
                 return Err(self.failed(&mut slot));
             }
         };
-        self.arrivals += 1;
+        self.deliveries += 1;
         match self
             .core
             .platform
@@ -235,7 +234,7 @@
             }
             ResponseClass::Answered if response.status.is_server_error() => {
                 self.log_attempt(&head, "failed", response.status.as_str());
-                let retries = self.may_run_again();
+                let retries = self.may_retry();
                 let failed = self.failed(&mut slot);
                 if retries {
                     Err(failed)
@@ -256,16 +255,16 @@
 
     fn failed(&mut self, slot: &mut SlotGuard<P>) -> AttemptError {
         self.avoid.push(slot.head.host.clone());
-        // The end of the call's time, or a member that was lost, says nothing of the head.
-        let is_heads_fault = !self.call.remaining().is_zero() && !slot.head.is_lost();
-        if is_heads_fault && !slot.has_started() {
+        // An exceeded deadline or a lost member is not the head's failure.
+        let head_failed = !self.call.remaining().is_zero() && !slot.head.is_lost();
+        if head_failed && !slot.has_started() {
             slot.failed();
         }
         self.runs += 1;
         AttemptError::Unknown
     }
 
-    /// Answers the caller with the host's answer.
+    /// Forwards the host's response to the caller.
     async fn forward(
         mut self,
         started: StartedResponse<P>,
@@ -277,7 +276,7 @@
             .dialect()
             .response_headers(&started.response.headers);
         if status != StatusCode::OK {
-            return self.forward_whole(started, status, headers).await;
+            return self.forward_full(started, status, headers).await;
         }
         let (tx, rx) = mpsc::channel(STREAM_BUFFER_CHUNKS);
         let mut answer = Response::new(ResponseBody::Stream(rx));
@@ -286,8 +285,8 @@
         Ok(answer)
     }
 
-    /// Anything but a stream is read to its end first.
-    async fn forward_whole(
+    /// Forwards a response that isn't a stream, after reading it to its end.
+    async fn forward_full(
         &mut self,
         mut started: StartedResponse<P>,
         status: StatusCode,
@@ -307,19 +306,19 @@
         Ok(answer)
     }
 
-    /// Forwards events; where the run breaks off, resumes at another replica.
+    /// Forwards events and, if the stream breaks, resumes it at another replica.
     async fn forward_events(
         mut self,
         mut started: StartedResponse<P>,
         tx: mpsc::Sender<StreamChunk>,
     ) {
         loop {
-            let end = self.read(&mut started, &tx).await;
+            let end = self.forward_until_end(&mut started, &tx).await;
             if let ReadEnd::Broken(why) = &end {
                 self.log_attempt(&started.slot.head, "broken", why);
                 self.failed(&mut started.slot);
             }
-            // Closes the connection to the host, which stops working on it.
+            // Closes the connection to the host, which cancels the request there.
             drop(started);
             self.core.wake_waiting_requests();
             match end {
@@ -328,46 +327,46 @@
                 ReadEnd::Broken(_) => self.events.discard_partial_event(),
             }
             let resumable = self.call.route.stream.as_ref().is_some_and(|s| s.resumable);
-            if !resumable || !self.may_run_again() {
-                return self.cut("it may not run again");
+            if !resumable || !self.may_retry() {
+                return self.truncate("no further attempt is permitted");
             }
             let (core, call) = (Arc::clone(&self.core), Arc::clone(&self.call));
             let resumed = tokio::select! {
-                resumed = self.begin() => resumed,
-                reason = stopped(&core, &call, &tx) => return self.abort(reason),
+                resumed = self.start_response() => resumed,
+                reason = wait_for_stop(&core, &call, &tx) => return self.abort(reason),
             };
             started = match resumed {
                 Ok(next) if next.response.status == StatusCode::OK => next,
-                Ok(_) => return self.cut("the run that went on failed"),
-                Err(refusal) => return self.cut(refusal.cause.name()),
+                Ok(_) => return self.truncate("the resumed attempt failed"),
+                Err(refusal) => return self.truncate(refusal.cause.name()),
             };
         }
     }
 
-    async fn read(
+    async fn forward_until_end(
         &mut self,
         started: &mut StartedResponse<P>,
         tx: &mpsc::Sender<StreamChunk>,
     ) -> ReadEnd {
         let head = Arc::clone(&started.slot.head);
-        let mut began = false;
+        let mut first_event_seen = false;
         loop {
             let chunk = tokio::select! {
                 chunk = started.response.chunk() => chunk,
                 () = head.wait_until_lost() => return ReadEnd::Broken("its replica was lost".into()),
-                reason = stopped(&self.core, &self.call, tx) => return ReadEnd::Stopped(reason),
+                reason = wait_for_stop(&self.core, &self.call, tx) => return ReadEnd::Stopped(reason),
             };
             let bytes = match chunk {
                 Ok(Some(bytes)) => bytes,
                 Ok(None) if self.events.has_partial_event() => {
-                    return ReadEnd::Broken("it ended within an event".into());
+                    return ReadEnd::Broken("stream ended within an event".into());
                 }
                 Ok(None) => return ReadEnd::Complete,
                 Err(err) => return ReadEnd::Broken(err.to_string().into()),
             };
             head.progress().on_event(Instant::now());
-            if !began {
-                began = true;
+            if !first_event_seen {
+                first_event_seen = true;
                 started.slot.on_first_event();
             }
             let Some(events) = self.events.push(&bytes) else {
@@ -386,11 +385,11 @@
     ) -> Result<(), StopReason> {
         tokio::select! {
             sent = tx.send(chunk) => sent.map_err(|_| StopReason::CallerDisconnected),
-            reason = stopped(&self.core, &self.call, tx) => Err(reason),
+            reason = wait_for_stop(&self.core, &self.call, tx) => Err(reason),
         }
     }
 
-    /// Sends the end of the stream. The slot at the host is free by now, so that a slow caller
+    /// Sends the end of the stream. The slot at the host was released before, so that a slow caller
     /// doesn't hold it.
     async fn finish(&self, tx: &mpsc::Sender<StreamChunk>) {
         match self.send(tx, StreamChunk::End).await {
@@ -401,14 +400,15 @@
 
     fn abort(&self, reason: StopReason) {
         match reason {
-            StopReason::DeadlineExceeded => self.cut("out of time"),
+            StopReason::DeadlineExceeded => self.truncate("deadline exceeded"),
             StopReason::CallerDisconnected => self.count_end("caller-left"),
-            StopReason::NodeExiting => self.cut("this node exits"),
+            StopReason::NodeExiting => self.truncate("this node exits"),
         }
     }
 
-    /// Logs that the stream is cut off: the caller sees its channel end without the last event.
-    fn cut(&self, why: &str) {
+    /// Logs that the stream is truncated. The body's channel then closes without an end, which the
+    /// caller sees as an incomplete response.
+    fn truncate(&self, why: &str) {
         info!(
             event = "request", request = %self.call.metadata.id, outcome = "cut", why,
             runs = self.runs, after = self.events.last_id().map_or("", |id| id.as_str()),
