--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -248,7 +248,7 @@
 /// Estimates the requests for a model that other nodes sent since their last load reports: callers
 /// choose nodes evenly, so each node gets about as many as this one.
 fn unreported<P: Platform>(core: &Core<P>, service: &ServiceName, model: &ModelName) -> f64 {
-    let others = core.node_count().saturating_sub(1) as f64;
+    let others = core.active_node_count().saturating_sub(1) as f64;
     core.admission.arrivals(service, model) * others * core.load_age().as_secs_f64()
 }
 
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -21,8 +21,8 @@
 use crate::inbox::Inbox;
 use crate::logs::LogRateLimit;
 use crate::metrics::{Metrics, RetryReason};
-use crate::nodes::{Nodes, usable_processor};
-use crate::peers::{LOAD_INTERVAL, Peers};
+use crate::nodes::{NodeTable, usable_processor};
+use crate::peers::{LOAD_INTERVAL, UpdateHandler};
 use crate::planning::PlanningEvent;
 use crate::ports::Platform;
 use crate::scheduler::Schedulers;
@@ -40,7 +40,7 @@
     pub(crate) targets: Mutex<TargetStats>,
     /// This node's share of the requests to plain hosts that are cold.
     pub(crate) cold_shares: Mutex<ColdRateLimiter>,
-    pub(crate) nodes: Mutex<Nodes>,
+    pub(crate) nodes: Mutex<NodeTable>,
     /// Terms of the nodes that announced themselves as the planner's leader, this one included.
     pub(crate) leaders: Mutex<BTreeMap<NodeId, u64>>,
     /// Copies of the platform's lists for other nodes.
@@ -64,7 +64,7 @@
     served: AtomicBool,
     strained: AtomicBool,
     store_failures: AtomicU64,
-    peer: OnceLock<Arc<PeerNode<Peers<P>>>>,
+    peer: OnceLock<Arc<PeerNode<UpdateHandler<P>>>>,
     /// Moving average of the age of other nodes' load reports on arrival.
     load_report_delay: Mutex<Duration>,
     pub(crate) started_at: Instant,
@@ -153,12 +153,12 @@
         self.served.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn set_peer(&self, peer: Arc<PeerNode<Peers<P>>>) {
+    pub(crate) fn set_peer(&self, peer: Arc<PeerNode<UpdateHandler<P>>>) {
         // Called once, when the node starts; a second call has no effect.
         let _ = self.peer.set(peer);
     }
 
-    pub(crate) fn peer(&self) -> Option<&Arc<PeerNode<Peers<P>>>> {
+    pub(crate) fn peer(&self) -> Option<&Arc<PeerNode<UpdateHandler<P>>>> {
         self.peer.get()
     }
 
@@ -205,8 +205,8 @@
     }
 
     /// Number of nodes that take requests, including this one, as far as it knows.
-    pub(crate) fn node_count(&self) -> usize {
-        locked(&self.nodes).sharing(Instant::now())
+    pub(crate) fn active_node_count(&self) -> usize {
+        locked(&self.nodes).retry_budget_shares(Instant::now())
     }
 
     /// Records how old another node's load report was on arrival.
@@ -244,7 +244,7 @@
 
     /// Takes one retry of this service from the retry budget; `false` if it is exhausted.
     pub(crate) fn try_retry(&self, service: &ServiceName, reason: RetryReason) -> bool {
-        let (nodes, now) = (self.node_count(), Instant::now());
+        let (nodes, now) = (self.active_node_count(), Instant::now());
         let mut retries = locked(&self.retries);
         let window = self.retry_window(&mut retries, service);
         if window.try_retry(nodes, now) {
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -174,7 +174,7 @@
 fn pick_host<P: Platform>(core: &Core<P>, service: &str, tried: &[HostId]) -> Option<Host> {
     let now = Instant::now();
     let cold_start = core.catalog().service(service).and_then(|s| s.cold);
-    let nodes = core.node_count();
+    let nodes = core.active_node_count();
     let fleet = locked(&core.fleet);
     let stats = locked(&core.targets);
     let mut shares = locked(&core.cold_shares);
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -15,7 +15,7 @@
 use crate::config::GatewayConfig;
 use crate::core::Core;
 use crate::heads::locked;
-use crate::peers::{self, Peers};
+use crate::peers::{self, UpdateHandler};
 use crate::ports::Platform;
 use crate::reflector::{self, HostSink, OperatorSink};
 use crate::server::{self, OpenConnections};
@@ -50,7 +50,7 @@
     connections: Arc<OpenConnections>,
     /// Accepts callers' connections until the port closes.
     accept_loop: Mutex<Option<JoinHandle<()>>>,
-    peer: Arc<PeerNode<Peers<P>>>,
+    peer: Arc<PeerNode<UpdateHandler<P>>>,
 }
 
 impl<P: Platform> Gateway<P> {
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -84,7 +84,7 @@
     }
     // If most other nodes aren't heard, the holder may be one of them and still act on what it
     // hears from the rest.
-    if !should_lead(core, now) || !locked(&core.nodes).hears_most(now) {
+    if !should_lead(core, now) || !locked(&core.nodes).hears_majority(now) {
         return None;
     }
     // The announcement of a holder that was read just now may not have arrived yet.
--- a/crates/gateway/src/nodes/tests.rs
+++ b/crates/gateway/src/nodes/tests.rs
@@ -4,10 +4,10 @@
 use eelgrassmill_fleet::ranked_for_role;
 use googletest::prelude::*;
 
-use crate::nodes::{NodeInfo, Nodes};
+use crate::nodes::{NodeInfo, NodeTable};
 
-fn nodes(now: Instant) -> Nodes {
-    let mut nodes = Nodes::default();
+fn nodes(now: Instant) -> NodeTable {
+    let mut nodes = NodeTable::default();
     for (id, processor) in [("large-1", 500), ("large-2", 500), ("small-1", 120)] {
         let info = NodeInfo {
             address: "127.0.0.1:1".into(),
@@ -20,34 +20,34 @@
     nodes
 }
 
-fn first(nodes: &Nodes, now: Instant) -> Option<NodeId> {
+fn first(nodes: &NodeTable, now: Instant) -> Option<NodeId> {
     let ranked = ranked_for_role("role", None, nodes.alive(now));
     ranked.first().map(|id| NodeId::clone(id))
 }
 
-/// Guards against a role staying at a node that has turned slow.
+/// Guards against a role that stays at a node which has become slow.
 #[gtest]
-fn a_role_leaves_a_strained_node_and_comes_back() {
+fn a_role_moves_away_from_a_strained_node_and_back() {
     let now = Instant::now();
     let mut nodes = nodes(now);
-    let usual = first(&nodes, now).expect("one takes it");
+    let usual = first(&nodes, now).expect("the role is assigned");
     nodes.set_strained(&usual, true);
-    let other = first(&nodes, now).expect("one takes it");
+    let other = first(&nodes, now).expect("the role is assigned");
     expect_that!(other, all![not(eq(&usual)), not(eq("small-1"))]);
     nodes.set_strained(&usual, false);
     expect_that!(first(&nodes, now), some(eq(&usual)));
 }
 
-/// Guards against each node taking a larger share of the retry budget while others are not heard.
+/// Guards against larger shares of the retry budget for each node while others are not heard.
 #[gtest]
-fn the_retry_budget_is_divided_by_all_nodes_that_were_heard_lately() {
+fn the_retry_budget_is_divided_among_all_nodes_heard_recently() {
     let now = Instant::now();
     let mut nodes = nodes(now);
     let later = now + Duration::from_secs(3);
     expect_that!(nodes.alive(later).count(), eq(0));
-    expect_that!(nodes.sharing(later), eq(4));
-    nodes.forget("small-1");
-    expect_that!(nodes.sharing(later), eq(4));
+    expect_that!(nodes.retry_budget_shares(later), eq(4));
+    nodes.remove("small-1");
+    expect_that!(nodes.retry_budget_shares(later), eq(4));
     let long_after = now + Duration::from_secs(30);
-    expect_that!(nodes.sharing(long_after), eq(3));
+    expect_that!(nodes.retry_budget_shares(long_after), eq(3));
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -23,7 +23,7 @@
 use crate::{loss_detection, scheduler, snapshot_relay};
 
 /// Under this name the leader publishes its term.
-const LEADER: &str = "planner";
+const LEADER_GROUP: &str = "planner";
 /// How often loads are reported. Heads turn over their batches in about a second; older reports
 /// would send bursts to heads that are already full.
 pub(crate) const LOAD_INTERVAL: Duration = Duration::from_millis(250);
@@ -37,48 +37,48 @@
 const LARGE_TICK: Duration = Duration::from_millis(250);
 
 /// Takes the updates of other nodes.
-pub(crate) struct Peers<P: Platform> {
+pub(crate) struct UpdateHandler<P: Platform> {
     core: Arc<Core<P>>,
 }
 
-impl<P: Platform> Peers<P> {
-    fn take(&self, update: Update) {
+impl<P: Platform> UpdateHandler<P> {
+    fn apply(&self, update: Update) {
         let Update { origin, change, .. } = update;
         if origin == self.core.cfg.node {
             return;
         }
         match change {
             Change::Put { item, as_of, .. } => {
-                locked(&self.core.nodes).heard(&origin, as_of);
-                self.put(&origin, item, as_of);
+                locked(&self.core.nodes).mark_heard(&origin, as_of);
+                self.apply_item(&origin, item, as_of);
             }
-            Change::Confirmed(as_of) => locked(&self.core.nodes).heard(&origin, as_of),
-            Change::Removed(ItemKey::GroupLoad(replica)) => self.no_load(&origin, &replica),
-            Change::Removed(ItemKey::Group(name)) if name == LEADER => {
+            Change::Confirmed(as_of) => locked(&self.core.nodes).mark_heard(&origin, as_of),
+            Change::Removed(ItemKey::GroupLoad(replica)) => self.clear_load(&origin, &replica),
+            Change::Removed(ItemKey::Group(name)) if name == LEADER_GROUP => {
                 locked(&self.core.leaders).remove(&origin);
             }
             Change::Removed(_) => {}
-            Change::Forgotten => self.forget(&origin),
+            Change::Forgotten => self.forget_node(&origin),
         }
     }
 
-    fn put(&self, origin: &NodeId, item: Item, as_of: Instant) {
+    fn apply_item(&self, origin: &NodeId, item: Item, as_of: Instant) {
         match item {
-            Item::Status(status) => self.status(origin, status, as_of),
+            Item::Status(status) => self.apply_status(origin, status, as_of),
             Item::GroupLoad(load) => {
                 self.core.record_load_delay(as_of.elapsed());
-                self.load(origin, &load, as_of);
+                self.apply_load(origin, &load, as_of);
             }
-            Item::Group(record) if record.group == LEADER => {
+            Item::Group(record) if record.group == LEADER_GROUP => {
                 locked(&self.core.leaders).insert(origin.clone(), record.version);
             }
             Item::Group(update) => loss_detection::on_loss_report(&self.core, origin, &update),
-            Item::Load(load) => self.node_load(origin, &load),
+            Item::Load(load) => self.apply_node_load(origin, &load),
             _ => {}
         }
     }
 
-    fn node_load(&self, origin: &NodeId, load: &NodeLoad) {
+    fn apply_node_load(&self, origin: &NodeId, load: &NodeLoad) {
         self.core
             .configuration
             .on_peer_version(origin, load.config_version);
@@ -89,7 +89,7 @@
         }
     }
 
-    fn status(&self, origin: &NodeId, status: NodeStatus, as_of: Instant) {
+    fn apply_status(&self, origin: &NodeId, status: NodeStatus, as_of: Instant) {
         let leaving = status.leaving;
         let info = NodeInfo {
             address: status.entry_address,
@@ -105,7 +105,7 @@
         }
     }
 
-    fn load(&self, origin: &NodeId, load: &GroupLoad, as_of: Instant) {
+    fn apply_load(&self, origin: &NodeId, load: &GroupLoad, as_of: Instant) {
         let heads = locked(&self.core.heads);
         if let Some(head) = heads.get(&load.group, load.epoch) {
             head.report_unscheduled(origin, load.running as usize);
@@ -119,15 +119,15 @@
     }
 
     /// A node has nothing at a replica any more.
-    fn no_load(&self, origin: &NodeId, replica: &str) {
+    fn clear_load(&self, origin: &NodeId, replica: &str) {
         let heads = locked(&self.core.heads);
         for head in heads.all().filter(|h| h.replica == replica) {
             head.forget_node(origin);
         }
     }
 
-    fn forget(&self, origin: &NodeId) {
-        locked(&self.core.nodes).forget(origin);
+    fn forget_node(&self, origin: &NodeId) {
+        locked(&self.core.nodes).remove(origin);
         locked(&self.core.leaders).remove(origin);
         self.core.configuration.forget_node(origin);
         self.core.schedulers.forget_node(origin);
@@ -140,10 +140,10 @@
     }
 }
 
-impl<P: Platform> PeerHandler for Peers<P> {
+impl<P: Platform> PeerHandler for UpdateHandler<P> {
     fn on_updates(&self, updates: Vec<Update>) {
         for update in updates {
-            self.take(update);
+            self.apply(update);
         }
     }
 
@@ -165,7 +165,7 @@
     core: &Arc<Core<P>>,
     incarnation: u64,
     runtime: &Handle,
-) -> Result<Arc<PeerNode<Peers<P>>>, PeerError> {
+) -> Result<Arc<PeerNode<UpdateHandler<P>>>, PeerError> {
     let cfg = &core.cfg;
     let timing = Timing {
         heartbeat_interval: ALIVE_INTERVAL,
@@ -197,7 +197,7 @@
             .filter(|s| *s != cfg.addresses.peers)
             .collect(),
     };
-    let handler = Arc::new(Peers {
+    let handler = Arc::new(UpdateHandler {
         core: Arc::clone(core),
     });
     let peer = Arc::new(PeerNode::start(
@@ -236,11 +236,11 @@
     let Some(peer) = core.peer() else { return };
     match leader {
         Some(leader) => peer.publish(Item::Group(GroupRecord {
-            group: LEADER.into(),
+            group: LEADER_GROUP.into(),
             version: leader.term,
             record: Vec::new(),
         })),
-        None => peer.withdraw(&ItemKey::Group(LEADER.into())),
+        None => peer.withdraw(&ItemKey::Group(LEADER_GROUP.into())),
     }
 }
 
@@ -253,8 +253,8 @@
         let Some(peer) = core.peer() else { continue };
         let loads = group_loads(&core, Instant::now());
         let current: BTreeSet<GroupId> = loads.iter().map(|l| l.group.clone()).collect();
-        for gone in reported.difference(&current) {
-            peer.withdraw(&ItemKey::GroupLoad(gone.clone()));
+        for withdrawn in reported.difference(&current) {
+            peer.withdraw(&ItemKey::GroupLoad(withdrawn.clone()));
         }
         for load in loads {
             peer.publish(Item::GroupLoad(load));
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -1,4 +1,4 @@
-//! What a platform implements so that a node can run on it.
+//! The traits that a platform implements so that a node can run on it.
 
 use std::future::Future;
 use std::time::Duration;
@@ -12,37 +12,37 @@
 
 use crate::call::RequestMetadata;
 
-/// A point in a source's history.
+/// A position in a source's change feed.
 pub type Cursor = u64;
 
-/// Why a source gave nothing.
+/// Why a source could not be read or written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SourceError {
-    /// It gave no answer, or could not be connected to. What was sent may have been done.
+    /// It could not be connected to or gave no answer. A write may have been done.
     #[error("no answer: {0}")]
     Unreachable(String),
-    /// It refused the call with this status and did nothing.
+    /// It refused the call with this HTTP status and did nothing.
     #[error("refused with status {0}")]
     Refused(u16),
-    /// It no longer has the history that was asked for.
-    #[error("the history is no longer there")]
+    /// It no longer has the history since the requested cursor.
+    #[error("the requested history has been compacted")]
     Compacted,
-    /// Its answer can't be read.
+    /// Its answer can't be decoded.
     #[error("malformed answer: {0}")]
     Malformed(String),
 }
 
-/// A list that changes, with a feed of its changes.
+/// A list with a feed of its changes.
 pub trait Source: Send + Sync + 'static {
-    /// One change, or the whole list as one.
+    /// One change, or a snapshot of the list.
     type Change: Send;
 
-    /// The whole list, and where its feed goes on.
+    /// Reads the whole list, and the cursor at which its feed continues.
     fn snapshot(
         &self,
     ) -> impl Future<Output = Result<(Vec<Self::Change>, Cursor), SourceError>> + Send;
 
-    /// What changed since `since`, as soon as there is anything or `wait` is over.
+    /// Long polls the changes since `since`: returns once there are any or `wait` is over.
     fn changes(
         &self,
         since: Cursor,
@@ -50,42 +50,43 @@
     ) -> impl Future<Output = Result<(Vec<Self::Change>, Cursor), SourceError>> + Send;
 }
 
-/// An accepted configuration, with the text that it was read from.
+/// An accepted configuration, with the text that it was parsed from.
 #[derive(Clone, Debug)]
 pub struct AcceptedConfig {
-    /// What it says.
+    /// The parsed configuration.
     pub catalog: Catalog,
-    /// The platform's own text, which nodes tell each other.
+    /// The platform's own text, which nodes relay to each other.
     pub text: String,
 }
 
-/// A change of what the operator decided.
+/// A change that the operator made.
 #[derive(Clone, Debug)]
 pub enum OperatorChange {
     /// A configuration was accepted.
     Configuration(AcceptedConfig),
-    /// A failure domain was evacuated or taken back.
+    /// A failure domain was evacuated or reinstated.
     Evacuation(EvacuationChange),
 }
 
 value! {
-    /// Who is the planner's leader.
+    /// The record of the planner's leader.
     pub struct LeaderRecord {
         /// The node.
         pub node: NodeId,
-        /// Counts the holders. Each term's epochs are above those of all before it.
+        /// Number of the leader's term. Epochs of a term are higher than those of all earlier
+        /// terms.
         pub term: u64,
     }
 }
 
-/// Where it is kept which node plans.
+/// Store of the planner's leader record.
 pub trait LeaderElection: Send + Sync + 'static {
-    /// The record and its version; `None` and 0 where it was never written.
+    /// Reads the record and its version; `None` and 0 if it was never written.
     fn read(
         &self,
     ) -> impl Future<Output = Result<(Option<LeaderRecord>, RowVersion), SourceError>> + Send;
 
-    /// Writes the record if it still has `version`. `false` when it has another.
+    /// Writes the record if it still has `version` (compare and set). `false` if it has another.
     fn claim(
         &self,
         version: RowVersion,
@@ -94,13 +95,13 @@
 }
 
 value! {
-    /// What a host says when it is asked.
+    /// A host's report of its state.
     pub struct HostReport {
-        /// Its start; 0 where it doesn't say.
+        /// Time of its start in milliseconds; 0 if unknown.
         pub born_ms: u64,
-        /// Models whose weights are in its memory.
+        /// Models whose weights are staged in its memory.
         pub staged: SmallVec<[ModelName; 2]>,
-        /// The replica that it is a member of.
+        /// Its membership in a replica.
         pub membership: Option<Membership>,
     }
 }
@@ -108,17 +109,17 @@
 /// Why a host gave no answer.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HostUnavailable {
-    /// Nothing reached it.
+    /// The host received nothing.
     #[error("not reached: {0}")]
     NotReached(String),
-    /// It may have taken what was sent, or may take it later.
+    /// The host may have received the request, or may receive it later.
     #[error("no answer: {0}")]
     NoAnswer(String),
 }
 
-/// Asks hosts and gives them orders.
+/// Sends report requests and orders to hosts.
 pub trait HostControl: Send + Sync + 'static {
-    /// What `host` at `address` holds. Another host there is no answer.
+    /// Requests the report of `host` at `address`. A reply of another host counts as no answer.
     fn report(
         &self,
         host: &HostId,
@@ -126,7 +127,7 @@
         timeout: Duration,
     ) -> impl Future<Output = Result<HostReport, HostUnavailable>> + Send;
 
-    /// Gives an order to `host` at `address`.
+    /// Sends an order to `host` at `address`.
     fn order(
         &self,
         host: &HostId,
@@ -137,102 +138,102 @@
 }
 
 value! {
-    /// What one attempt adds to a caller's headers.
+    /// Metadata that one attempt adds to a caller's headers.
     pub struct AttemptMetadata {
-        /// The host that must run it; another one at its address refuses.
+        /// The host that must run it; another host at its address refuses it.
         pub host: HostId,
         /// The time left for it.
         pub timeout: Duration,
-        /// Who asks.
+        /// The caller's tenant.
         pub tenant: Option<TenantId>,
-        /// 0 is admitted first; set where the target orders its requests.
+        /// Priority, with 0 admitted first; set if the target orders its requests.
         pub urgency: Option<u8>,
-        /// The last event that the caller has, where a stream goes on.
+        /// The id of the last event that the caller has, if a stream resumes.
         pub resume_after: Option<SmolStr>,
     }
 }
 
 value! { copy
-    /// What an answer's head says beside its status.
+    /// What the headers of a response say about its execution.
     pub enum ResponseClass {
         /// The host answered the request.
         Answered,
-        /// The host did not run it and never will.
+        /// The host did not run the request and never will.
         NotRun,
         /// Another host has this address; it did not run the request.
         WrongHost,
-        /// It claims success but lacks what every answer of a host has.
+        /// It has a success status but lacks the header that every response of a host has.
         Unverified,
     }
 }
 
 value! {
-    /// A request to a node itself.
+    /// A request to the node itself.
     pub enum NodeRequest {
         /// Whether the node takes requests.
         Ready,
-        /// Which addresses a caller in this failure domain should use.
+        /// The node addresses that a caller in this failure domain should use.
         Resolve {
-            /// The caller's failure domain; empty where it isn't known.
+            /// The caller's failure domain; empty if unknown.
             failure_domain: SmolStr,
         },
         /// The metrics page.
         Metrics,
-        /// Nothing that is served here.
+        /// An unknown path or method.
         Unknown,
     }
 }
 
-/// How requests and answers are spelled.
+/// The platform's HTTP headers and endpoints.
 pub trait Dialect: Send + Sync + 'static {
-    /// The caller's key.
+    /// Reads the caller's API key.
     fn api_key<'h>(&self, headers: &'h HeaderMap) -> Option<&'h str>;
 
-    /// What the request's headers say.
+    /// Reads the metadata of a request.
     fn request_metadata(&self, headers: &HeaderMap) -> RequestMetadata;
 
-    /// The headers that a target gets.
+    /// The request headers for a target.
     fn target_headers(&self, caller: &HeaderMap, attempt: &AttemptMetadata) -> HeaderMap;
 
-    /// What an answer's head means.
+    /// Classifies a target's response by its status and headers.
     fn classify(&self, status: StatusCode, headers: &HeaderMap) -> ResponseClass;
 
-    /// The headers of a target's answer that its caller gets.
+    /// The response headers for the caller.
     fn response_headers(&self, headers: &HeaderMap) -> HeaderMap;
 
-    /// Reads a request to the node itself.
+    /// Parses a request to the node itself.
     fn node_request(&self, method: &http::Method, uri: &http::Uri) -> NodeRequest;
 
-    /// The addresses for callers, who may keep them for `ttl`.
+    /// Encodes addresses for callers, who may cache them for `ttl`.
     fn addresses(&self, addresses: &[SmolStr], ttl: Duration) -> Bytes;
 }
 
-/// A platform: everything that a node needs of it.
+/// A platform on which a node can run.
 pub trait Platform: Send + Sync + Sized + 'static {
     /// The list of hosts.
     type Hosts: Source<Change = FleetChange>;
-    /// What the operator decided: the accepted configuration and evacuations.
+    /// The operator's accepted configuration and evacuations.
     type Operator: Source<Change = OperatorChange>;
     /// The planner's leader.
     type LeaderElection: LeaderElection;
-    /// Orders and questions to hosts.
+    /// Orders and report requests to hosts.
     type Control: HostControl;
-    /// Headers.
+    /// HTTP headers and endpoints.
     type Dialect: Dialect;
 
     /// The list of hosts.
     fn hosts(&self) -> &Self::Hosts;
-    /// What the operator decided.
+    /// The operator's accepted configuration and evacuations.
     fn operator(&self) -> &Self::Operator;
-    /// Reads a configuration's text, which another node had from the same source.
+    /// Parses a configuration's text, which another node read from the same source.
     ///
     /// # Errors
     /// [`SourceError::Malformed`].
     fn read_catalog(&self, text: &str) -> Result<Catalog, SourceError>;
     /// The planner's leader.
     fn leader(&self) -> &Self::LeaderElection;
-    /// Orders and questions to hosts.
+    /// Orders and report requests to hosts.
     fn control(&self) -> &Self::Control;
-    /// Headers.
+    /// HTTP headers and endpoints.
     fn dialect(&self) -> &Self::Dialect;
 }
