--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -62,11 +62,16 @@
 }
 
 impl AdmissionQueues {
-    fn enter(&self, service: &ServiceName, model: &ModelName, rank: Priority) -> QueueEntry<'_> {
+    fn enter(
+        &self,
+        service: &ServiceName,
+        model: &ModelName,
+        priority: Priority,
+    ) -> QueueEntry<'_> {
         let name = (service.clone(), model.clone());
         let mut queues = locked(&self.queues);
         let queue = queues.entry(name.clone()).or_default();
-        let key = (rank, queue.next);
+        let key = (priority, queue.next);
         queue.next += 1;
         let woken = Arc::new(Notify::new());
         queue.waiting.insert(key, Arc::clone(&woken));
@@ -188,8 +193,8 @@
         Acquired::Full => return Err(full_refusal(no_slot_cause(core, service, model))),
         Acquired::NoScheduler => {}
     }
-    let rank = Priority::first(resumed, call.urgency());
-    let mut waiting = core.admission.enter(service, model, rank);
+    let priority = Priority::first(resumed, call.urgency());
+    let mut waiting = core.admission.enter(service, model, priority);
     loop {
         if waiting.is_first() {
             match choose_head(core, service, model, avoid) {
--- a/crates/gateway/src/call.rs
+++ b/crates/gateway/src/call.rs
@@ -48,7 +48,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    /// The time until which a response meets the route's latency target.
+    /// The time until which a response meets the route's latency objective.
     pub(crate) fn on_time_until(&self) -> Instant {
         self.first_sent + self.route.latency_objective
     }
--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -38,8 +38,8 @@
     pub(crate) fleet: Mutex<Fleet>,
     pub(crate) heads: Mutex<HeadTable>,
     pub(crate) targets: Mutex<TargetStats>,
-    /// This node's share of the requests to plain hosts that are cold.
-    pub(crate) cold_shares: Mutex<ColdRateLimiter>,
+    /// Limits this node's share of the requests to cold plain hosts.
+    pub(crate) cold_rate_limiter: Mutex<ColdRateLimiter>,
     pub(crate) nodes: Mutex<NodeTable>,
     /// Terms of the nodes that announced themselves as the planner's leader, this one included.
     pub(crate) leaders: Mutex<BTreeMap<NodeId, u64>>,
@@ -52,7 +52,7 @@
     pub(crate) admission: AdmissionQueues,
     /// Schedulers that run at this node.
     pub(crate) schedulers: Schedulers,
-    pub(crate) patience: Mutex<CallerTimeouts>,
+    pub(crate) caller_timeouts: Mutex<CallerTimeouts>,
     pub(crate) scheduler_client: SchedulerClient,
     pub(crate) planning: Inbox<PlanningEvent>,
     /// Set when the node receives the signal to stop. It then closes its port (`stopping`) and
@@ -62,7 +62,7 @@
     /// True once the grace period of running requests is over and the process is about to exit.
     exiting: watch::Sender<bool>,
     served: AtomicBool,
-    strained: AtomicBool,
+    overloaded: AtomicBool,
     store_failures: AtomicU64,
     peer: OnceLock<Arc<PeerNode<UpdateHandler<P>>>>,
     /// Moving average of the age of other nodes' load reports on arrival.
@@ -84,7 +84,7 @@
             fleet: Mutex::default(),
             heads: Mutex::default(),
             targets: Mutex::default(),
-            cold_shares: Mutex::default(),
+            cold_rate_limiter: Mutex::default(),
             nodes: Mutex::default(),
             leaders: Mutex::default(),
             lists: SnapshotRelay::default(),
@@ -93,14 +93,14 @@
             metrics: Metrics::default(),
             admission: AdmissionQueues::default(),
             schedulers: Schedulers::default(),
-            patience: Mutex::default(),
+            caller_timeouts: Mutex::default(),
             scheduler_client: SchedulerClient::default(),
             planning: Inbox::default(),
             shutdown: OnceLock::new(),
             stopping: watch::Sender::new(false),
             exiting: watch::Sender::new(false),
             served: AtomicBool::new(false),
-            strained: AtomicBool::new(false),
+            overloaded: AtomicBool::new(false),
             store_failures: AtomicU64::new(0),
             peer: OnceLock::new(),
             load_report_delay: Mutex::new(LOAD_INTERVAL),
@@ -181,17 +181,17 @@
         RoleCandidate {
             id: &self.cfg.node,
             failure_domain: &self.cfg.failure_domain,
-            processor: usable_processor(self.cfg.processor, self.is_strained()),
+            processor: usable_processor(self.cfg.processor, self.is_overloaded()),
         }
     }
 
     /// Whether this node has too little CPU for its load.
-    pub(crate) fn is_strained(&self) -> bool {
-        self.strained.load(Ordering::Relaxed)
+    pub(crate) fn is_overloaded(&self) -> bool {
+        self.overloaded.load(Ordering::Relaxed)
     }
 
-    pub(crate) fn set_strained(&self, strained: bool) {
-        self.strained.store(strained, Ordering::Relaxed);
+    pub(crate) fn set_overloaded(&self, overloaded: bool) {
+        self.overloaded.store(overloaded, Ordering::Relaxed);
     }
 
     /// Whether at least one other node is known to be up.
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -24,9 +24,9 @@
 
 /// Longest response that is held in memory, in bytes.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
-/// Timeout of an attempt that can be retried, in multiples of the route's latency target: by then
-/// the response is late, and half of the route's timeout is left for another host.
-const ATTEMPT_TIMEOUT_IN_AIMS: u32 = 2;
+/// Timeout of an attempt that can be retried, in multiples of the route's latency objective: by
+/// then the response is late, and half of the route's timeout is left for another host.
+const ATTEMPT_TIMEOUT_IN_OBJECTIVES: u32 = 2;
 /// Retry-After when every host refused: hosts refuse while their short queue is full, and it has
 /// room again a few responses later.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(150);
@@ -132,7 +132,7 @@
 fn attempt_timeout(call: &Call, runs: u32) -> Duration {
     let left = call.remaining();
     if call.is_idempotent() && runs + 1 < call.route.attempts {
-        left.min((call.route.latency_objective * ATTEMPT_TIMEOUT_IN_AIMS).max(left / 4))
+        left.min((call.route.latency_objective * ATTEMPT_TIMEOUT_IN_OBJECTIVES).max(left / 4))
     } else {
         left
     }
@@ -177,37 +177,37 @@
     let nodes = core.active_node_count();
     let fleet = locked(&core.fleet);
     let stats = locked(&core.targets);
-    let mut shares = locked(&core.cold_shares);
+    let mut limiter = locked(&core.cold_rate_limiter);
     let cold_start_of = |h: &Host| cold_start.filter(|cold| is_cold(&fleet, h, cold, now));
     if let Some(cold) = &cold_start {
-        shares.remove_warm(cold, now);
+        limiter.remove_warm(cold, now);
     }
-    let is_within_share = |h: &Host, shares: &mut ColdRateLimiter| {
+    let is_within_rate = |h: &Host, limiter: &mut ColdRateLimiter| {
         let draw = fastrand::f64();
-        cold_start_of(h).is_none_or(|cold| shares.may_send(&h.id, &cold, nodes, draw, now))
+        cold_start_of(h).is_none_or(|cold| limiter.may_send(&h.id, &cold, nodes, draw, now))
     };
     let usable = |h: &&Host| {
         let is_wanted = h.service == service && !tried.contains(&h.id);
-        is_wanted && fleet.takes_requests(h) && is_within_share(h, &mut shares)
+        is_wanted && fleet.takes_requests(h) && is_within_rate(h, &mut limiter)
     };
     let candidates: Vec<HostCandidate> = fleet
         .hosts()
         .filter(usable)
         .map(|h| {
-            let (load, failing_permille) = stats.load_and_failures(&h.id, now);
+            let (load, failure_permille) = stats.load_and_failures(&h.id, now);
             HostCandidate {
                 host: h.id.clone(),
                 load,
                 slots: h.slots,
                 same_domain: h.failure_domain == core.cfg.failure_domain,
-                failure_permille: failing_permille,
+                failure_permille,
             }
         })
         .collect();
     let chosen = choose_host(&candidates, 0.0, fastrand::f64())?;
     let chosen = fleet.host(&chosen.host)?;
     if cold_start_of(chosen).is_some() {
-        shares.on_sent(&chosen.id);
+        limiter.on_sent(&chosen.id);
     }
     Some(chosen.clone())
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -17,7 +17,7 @@
 use crate::heads::locked;
 use crate::peers::{self, UpdateHandler};
 use crate::ports::Platform;
-use crate::reflector::{self, HostSink, OperatorSink};
+use crate::reflector::{HostSink, OperatorSink, run_reflector};
 use crate::server::{self, OpenConnections};
 use crate::{configuration, leader, loss_detection, node_api};
 
@@ -186,7 +186,7 @@
 fn spawn_tasks<P: Platform>(core: &Arc<Core<P>>) {
     let shared = Arc::clone(core);
     tokio::spawn(async move {
-        reflector::run(
+        run_reflector(
             &*shared,
             shared.platform.hosts(),
             &HostSink(Arc::clone(&shared)),
@@ -195,7 +195,7 @@
     });
     let shared = Arc::clone(core);
     tokio::spawn(async move {
-        reflector::run(
+        run_reflector(
             &*shared,
             shared.platform.operator(),
             &OperatorSink(Arc::clone(&shared)),
--- a/crates/gateway/src/heads/mod.rs
+++ b/crates/gateway/src/heads/mod.rs
@@ -39,7 +39,7 @@
     /// The subset of them that this node placed without a scheduler.
     unscheduled: AtomicUsize,
     reports: Mutex<LoadReports>,
-    progress: Mutex<StreamActivity>,
+    stream_activity: Mutex<StreamActivity>,
     /// Ejection of the head from unscheduled placement after it rejected or failed requests.
     backoff: Mutex<EjectionBackoff>,
     /// Set if it is or was cold, with the end of its cold phase.
@@ -84,7 +84,7 @@
             running: AtomicUsize::new(0),
             unscheduled: AtomicUsize::new(0),
             reports: Mutex::default(),
-            progress: Mutex::default(),
+            stream_activity: Mutex::default(),
             backoff: Mutex::default(),
             cold: Mutex::default(),
             lost: watch::Sender::new(None),
@@ -180,7 +180,7 @@
     /// Counts one more request until the guard is dropped.
     pub(crate) fn enter<P: Platform>(self: &Arc<Head>, permit: Option<Permit<P>>) -> SlotGuard<P> {
         if self.running.fetch_add(1, Ordering::Relaxed) == 0 {
-            self.progress().on_work_resumed(Instant::now());
+            self.stream_activity().on_work_resumed(Instant::now());
         }
         if permit.is_none() {
             self.unscheduled.fetch_add(1, Ordering::Relaxed);
@@ -194,8 +194,8 @@
         }
     }
 
-    pub(crate) fn progress(&self) -> MutexGuard<'_, StreamActivity> {
-        locked(&self.progress)
+    pub(crate) fn stream_activity(&self) -> MutexGuard<'_, StreamActivity> {
+        locked(&self.stream_activity)
     }
 
     /// Marks its replica as lost: no more events will arrive from it.
--- a/crates/gateway/src/loss_detection.rs
+++ b/crates/gateway/src/loss_detection.rs
@@ -42,13 +42,13 @@
 
 /// Checks for stalled replicas until the process ends.
 pub(crate) async fn run<P: Platform>(core: Arc<Core<P>>) {
-    let rule = StallThreshold::default();
-    let mut strain = CpuOverload::default();
+    let threshold = StallThreshold::default();
+    let mut cpu_overload = CpuOverload::default();
     let mut retry_lost_at = Instant::now();
     loop {
         let due = Instant::now() + POLL_INTERVAL;
         tokio::time::sleep_until(due.into()).await;
-        update_strain(&core, &mut strain, due);
+        update_cpu_overload(&core, &mut cpu_overload, due);
         expire_missing_hosts(&core);
         // Entries of dead heads stay while the store is unavailable: each retry would break
         // streams.
@@ -56,21 +56,21 @@
             retry_lost_at = due + LOST_HEAD_RETRY_INTERVAL;
             locked(&core.heads).retry_lost(Instant::now());
         }
-        for head in stalled_heads(&core, &rule) {
+        for head in stalled_heads(&core, &threshold) {
             // Keeps the next round from starting a second check of the same replica.
-            head.progress().on_work_resumed(Instant::now());
+            head.stream_activity().on_work_resumed(Instant::now());
             tokio::spawn(check_members(Arc::clone(&core), head));
         }
     }
 }
 
-/// Updates CPU strain from the lateness of this loop's timer.
-fn update_strain<P: Platform>(core: &Core<P>, strain: &mut CpuOverload, due: Instant) {
+/// Updates CPU overload from the lateness of this loop's timer.
+fn update_cpu_overload<P: Platform>(core: &Core<P>, cpu_overload: &mut CpuOverload, due: Instant) {
     let now = Instant::now();
-    strain.on_timer(now.saturating_duration_since(due), now);
-    if strain.is_overloaded() != core.is_strained() {
-        core.set_strained(strain.is_overloaded());
-        info!(event = "strain", strained = strain.is_overloaded());
+    cpu_overload.on_timer(now.saturating_duration_since(due), now);
+    if cpu_overload.is_overloaded() != core.is_overloaded() {
+        core.set_overloaded(cpu_overload.is_overloaded());
+        info!(event = "strain", strained = cpu_overload.is_overloaded());
     }
 }
 
@@ -90,13 +90,15 @@
     core.refresh_heads();
 }
 
-fn stalled_heads<P: Platform>(core: &Core<P>, rule: &StallThreshold) -> Vec<Arc<Head>> {
+fn stalled_heads<P: Platform>(core: &Core<P>, threshold: &StallThreshold) -> Vec<Arc<Head>> {
     let now = Instant::now();
     let heads = locked(&core.heads);
     let is_stalled = |h: &&Arc<Head>| {
         h.running_here() > 0
             && !h.is_lost()
-            && h.progress().stalls_at(rule).is_some_and(|at| at <= now)
+            && h.stream_activity()
+                .stalls_at(threshold)
+                .is_some_and(|at| at <= now)
     };
     heads.all().filter(is_stalled).cloned().collect()
 }
@@ -195,7 +197,7 @@
         .cloned();
     if let Some(head) = head {
         if head
-            .progress()
+            .stream_activity()
             .has_recent_event(&StallThreshold::default(), Instant::now())
         {
             info!(
--- a/crates/gateway/src/nodes/mod.rs
+++ b/crates/gateway/src/nodes/mod.rs
@@ -38,7 +38,7 @@
 struct NodeEntry {
     info: NodeInfo,
     /// Whether it has too little CPU for its load.
-    strained: bool,
+    overloaded: bool,
     last_heard: Instant,
 }
 
@@ -50,9 +50,9 @@
 /// counts as dead, and longer than most connections stall.
 const COPY_RETRY_AFTER: Duration = Duration::from_secs(3);
 
-/// The CPU of a strained node is divided by this, so that it takes a role only if nearly all others
-/// are strained, too.
-const STRAIN_DIVISOR: u32 = 4;
+/// The CPU of an overloaded node is divided by this, so that it takes a role only if nearly all
+/// others are overloaded, too.
+const OVERLOAD_DIVISOR: u32 = 4;
 
 /// The other nodes that this one knows.
 #[derive(Clone, Debug, Default)]
@@ -73,22 +73,22 @@
         self.lost.remove(node);
         let known = self.known.get(node);
         let changed = known.is_none_or(|k| k.info != info);
-        let strained = known.is_some_and(|k| k.strained);
+        let overloaded = known.is_some_and(|k| k.overloaded);
         // A status relayed by another node may be older than what was heard before.
         let last_heard = known.map_or(heard, |k| k.last_heard.max(heard));
         let known = NodeEntry {
             info,
-            strained,
+            overloaded,
             last_heard,
         };
         self.known.insert(node.clone(), known);
         changed
     }
 
-    /// Records whether a node is strained.
-    pub(crate) fn set_strained(&mut self, node: &str, strained: bool) {
+    /// Records whether a node is overloaded.
+    pub(crate) fn set_overloaded(&mut self, node: &str, overloaded: bool) {
         if let Some(known) = self.known.get_mut(node) {
-            known.strained = strained;
+            known.overloaded = overloaded;
         }
     }
 
@@ -191,9 +191,9 @@
 }
 
 /// CPU that a node has for a role, in thousandths of a core.
-pub(crate) fn usable_processor(processor: u32, strained: bool) -> u32 {
-    if strained {
-        processor / STRAIN_DIVISOR
+pub(crate) fn usable_processor(processor: u32, overloaded: bool) -> u32 {
+    if overloaded {
+        processor / OVERLOAD_DIVISOR
     } else {
         processor
     }
@@ -203,7 +203,7 @@
     RoleCandidate {
         id,
         failure_domain: &known.info.failure_domain,
-        processor: usable_processor(known.info.processor, known.strained),
+        processor: usable_processor(known.info.processor, known.overloaded),
     }
 }
 
--- a/crates/gateway/src/nodes/tests.rs
+++ b/crates/gateway/src/nodes/tests.rs
@@ -27,14 +27,14 @@
 
 /// Guards against a role that stays at a node which has become slow.
 #[gtest]
-fn a_role_moves_away_from_a_strained_node_and_back() {
+fn a_role_moves_away_from_an_overloaded_node_and_back() {
     let now = Instant::now();
     let mut nodes = nodes(now);
     let usual = first(&nodes, now).expect("the role is assigned");
-    nodes.set_strained(&usual, true);
+    nodes.set_overloaded(&usual, true);
     let other = first(&nodes, now).expect("the role is assigned");
     expect_that!(other, all![not(eq(&usual)), not(eq("small-1"))]);
-    nodes.set_strained(&usual, false);
+    nodes.set_overloaded(&usual, false);
     expect_that!(first(&nodes, now), some(eq(&usual)));
 }
 
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -82,7 +82,7 @@
         self.core
             .configuration
             .on_peer_version(origin, load.config_version);
-        locked(&self.core.nodes).set_strained(origin, load.overloaded);
+        locked(&self.core.nodes).set_overloaded(origin, load.overloaded);
         // A load says that callers' requests have come: loads of weights are slow now.
         if load.load_permille > 0 {
             self.core.mark_served();
@@ -264,7 +264,7 @@
         peer.publish(Item::Load(NodeLoad {
             config_version,
             load_permille,
-            overloaded: core.is_strained(),
+            overloaded: core.is_overloaded(),
         }));
         reported = current;
     }
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -224,13 +224,13 @@
 }
 
 fn merge_report(known: Host, report: HostReport) -> Host {
-    let born_ms = if report.born_ms > 0 {
-        report.born_ms
+    let started_ms = if report.started_ms > 0 {
+        report.started_ms
     } else {
         known.started_ms
     };
     Host {
-        started_ms: born_ms,
+        started_ms,
         staged: report.staged,
         membership: report.membership,
         ..known
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -98,7 +98,7 @@
     /// A host's report of its state.
     pub struct HostReport {
         /// Time of its start in milliseconds; 0 if unknown.
-        pub born_ms: u64,
+        pub started_ms: u64,
         /// Models whose weights are staged in its memory.
         pub staged: SmallVec<[ModelName; 2]>,
         /// Its membership in a replica.
--- a/crates/gateway/src/reflector.rs
+++ b/crates/gateway/src/reflector.rs
@@ -286,7 +286,7 @@
 }
 
 /// Keeps a sink up to date with a source until the process ends.
-pub(crate) async fn run<P, S, K>(core: &Core<P>, source: &S, sink: &K)
+pub(crate) async fn run_reflector<P, S, K>(core: &Core<P>, source: &S, sink: &K)
 where
     P: Platform,
     S: Source,
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -57,8 +57,8 @@
             RefusalCause::HostsRefused => "hosts-refused",
             RefusalCause::RetryBudgetExhausted => "no-repeats-left",
             RefusalCause::DeadlineExceeded => "out-of-time",
-            RefusalCause::ResponseTimeout => "no-response-in-time",
-            RefusalCause::BrokenResponse => "response-broken",
+            RefusalCause::ResponseTimeout => "no-answer-in-time",
+            RefusalCause::BrokenResponse => "answer-broken",
             RefusalCause::NodeExiting => "node-ends",
         }
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -330,9 +330,9 @@
     let Some(client_timeout) = client_timeout else {
         return arrived;
     };
-    let mut patience = locked(&core.patience);
-    let waited = patience.since_first_attempt(client_timeout, route_timeout);
-    patience.on_request(client_timeout, route_timeout);
+    let mut caller_timeouts = locked(&core.caller_timeouts);
+    let waited = caller_timeouts.since_first_attempt(client_timeout, route_timeout);
+    caller_timeouts.on_request(client_timeout, route_timeout);
     arrived.checked_sub(waited).unwrap_or(arrived)
 }
 
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -364,7 +364,7 @@
                 Ok(None) => return ReadEnd::Complete,
                 Err(err) => return ReadEnd::Broken(err.to_string().into()),
             };
-            head.progress().on_event(Instant::now());
+            head.stream_activity().on_event(Instant::now());
             if !first_event_seen {
                 first_event_seen = true;
                 started.slot.on_first_event();
