--- a/crates/peer/examples/capacity/spread.rs
+++ b/crates/peer/examples/capacity/spread.rs
@@ -6,7 +6,7 @@
 use eelgrassmill_base::{NodeId, rendezvous, stable_hash};
 use eelgrassmill_peer::capacity::Inputs;
 use eelgrassmill_peer::{
-    ConfigAnnouncement, GroupLoad, HealthReport, Item, MESH_LIMIT, Member, NodeLoad,
+    ConfigAnnouncement, GroupLoad, HealthReport, Item, MAX_MESH_NODES, Member, NodeLoad,
 };
 
 use crate::counting::held_by;
@@ -219,7 +219,7 @@
         ];
         report_spread(&mut fleet, here, ages);
         // A full mesh is another regime than the trees: no point of their slopes.
-        if nodes > MESH_LIMIT {
+        if nodes > MAX_MESH_NODES {
             bytes.push((n, here[0]));
             calls.push((n, here[1]));
             core.push((n, here[2]));
--- a/crates/peer/src/delay.rs
+++ b/crates/peer/src/delay.rs
@@ -1,57 +1,57 @@
-//! How late a batch is.
+//! Estimates how long a batch was delayed in transit.
 //!
-//! Ages travel as durations and not as points in time, since nodes have no
-//! common clock. A sender that is paused between putting a batch together and
-//! sending it, or a connection that holds it up, would make old evidence look
-//! fresh: a group without a host would be served for as long as the pause took.
-//! So each batch says when it was put together on the sender's own monotonic
-//! clock, and the receiver counts all time beyond the shortest way it has seen
-//! from that sender as delay, which is added to every age.
+//! Ages are sent as durations and not as timestamps, since nodes have no common
+//! clock. A sender that is paused between building a batch and sending it, or a
+//! stalled connection, would make old evidence look fresh: a group that has lost a
+//! host would continue to receive requests for the length of the pause. Each batch
+//! therefore carries its build time on the sender's monotonic clock. The receiver
+//! treats all time beyond the shortest transit that it has seen from that sender as
+//! delay, which is added to every age.
 
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::Incarnation;
 
-/// The shortest way is sought within the last one to two windows, so that a slow
-/// drift between two clocks is followed.
+/// The minimum offset is taken over the last one to two windows, which follows slow
+/// drift between two clocks.
 const WINDOW: Duration = Duration::from_secs(60);
 
-/// What one receiver knows of one sender's clock.
+/// A receiver's estimate of its offset to a sender's clock.
 #[derive(Clone, Debug)]
 pub(crate) struct SenderClock {
     incarnation: Incarnation,
-    /// Smallest difference of the two clocks seen in this window, in milliseconds.
-    current: i64,
-    /// The same for the window before.
-    previous: i64,
-    window_began: Instant,
+    /// Smallest offset between the two clocks in this window, in milliseconds.
+    min_offset_ms: i64,
+    /// The same for the previous window.
+    previous_min_offset_ms: i64,
+    window_start: Instant,
 }
 
 impl SenderClock {
-    /// Starts with the first batch of a sender's start.
+    /// Starts with the first batch of a sender's incarnation.
     pub(crate) fn new(incarnation: Incarnation, offset_ms: i64, now: Instant) -> SenderClock {
         SenderClock {
             incarnation,
-            current: offset_ms,
-            previous: offset_ms,
-            window_began: now,
+            min_offset_ms: offset_ms,
+            previous_min_offset_ms: offset_ms,
+            window_start: now,
         }
     }
 
-    /// The start of the sender that this is about.
+    /// The sender's incarnation.
     pub(crate) fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// How late a batch is whose receiving clock is `offset_ms` ahead of its sending clock.
+    /// The delay of a batch at whose receipt this clock was `offset_ms` ahead of its send time.
     pub(crate) fn delay(&mut self, offset_ms: i64, now: Instant) -> Duration {
-        if now.saturating_duration_since(self.window_began) >= WINDOW {
-            self.previous = self.current;
-            self.current = offset_ms;
-            self.window_began = now;
+        if now.saturating_duration_since(self.window_start) >= WINDOW {
+            self.previous_min_offset_ms = self.min_offset_ms;
+            self.min_offset_ms = offset_ms;
+            self.window_start = now;
         }
-        self.current = self.current.min(offset_ms);
-        let shortest = self.current.min(self.previous);
-        Duration::from_millis(offset_ms.saturating_sub(shortest).unsigned_abs())
+        self.min_offset_ms = self.min_offset_ms.min(offset_ms);
+        let min_offset_ms = self.min_offset_ms.min(self.previous_min_offset_ms);
+        Duration::from_millis(offset_ms.saturating_sub(min_offset_ms).unsigned_abs())
     }
 }
--- a/crates/peer/src/dissemination/mod.rs
+++ b/crates/peer/src/dissemination/mod.rs
@@ -1,20 +1,20 @@
 //! Dissemination of soft state as a pure state machine: no I/O and no clock.
 //!
-//! Each node owns the items that it publishes. Whoever holds an origin's state
-//! identifies it by a fingerprint of name, start and last sequence number; a
-//! confirmation is a fingerprint and an age, so that unchanged state stays fresh
-//! for a few bytes. A node that is told of a fingerprint that it does not know
-//! asks for that state: confirmations double as the search for lost updates.
+//! Each node owns the items that it publishes. A version of an origin's state is
+//! identified by a fingerprint of name, incarnation and last sequence number. A
+//! confirmation is a fingerprint and an age, so that keeping unchanged state fresh
+//! costs a few bytes. A node that receives an unknown fingerprint requests that
+//! state, so confirmations also detect lost updates.
 //!
-//! What is new goes down the [`Overlay`]'s trees with the next tick, and with the
-//! next flush when it is urgent. Three slower ways mend what the trees lose:
-//! unknown fingerprints are asked for, states that nobody confirmed for a while are
-//! asked about in turn at other nodes, and every few seconds all fingerprints are
-//! compared with one more node.
+//! Changes are forwarded along the [`Overlay`]'s trees with the next tick, urgent
+//! ones with the next flush. Anti-entropy repairs what the trees lose: unknown
+//! fingerprints are requested, unconfirmed states are queried at other nodes in
+//! round-robin order, and every few seconds all fingerprints are compared with one
+//! other node.
 
 mod membership;
+mod origin_state;
 mod receive;
-mod record;
 mod send;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,19 +24,19 @@
 use smol_str::SmolStr;
 
 use crate::delay::SenderClock;
-use crate::dissemination::membership::{Absent, Backoff};
-use crate::dissemination::record::{Fingerprint, Record};
-use crate::item::{Item, ItemKey, Pace, Update};
+use crate::dissemination::membership::{Backoff, LostNodes};
+use crate::dissemination::origin_state::{Fingerprint, OriginState};
+use crate::item::{Item, ItemKey, Priority, Update};
 use crate::overlay::Overlay;
 use crate::wire::messages::Batch;
 
-/// Ages beyond this count as this.
-const LONG_AGO: Duration = Duration::from_secs(3600);
+/// Longer ages are capped at this.
+const MAX_AGE: Duration = Duration::from_secs(3600);
 
 value! {
-    /// A node as the lead of its process knows it from the table or from settings.
+    /// A node as listed in the table or in the settings.
     pub struct Member {
-        /// Its name.
+        /// Its ID.
         pub id: NodeId,
         /// `IP:PORT` for other nodes.
         pub address: SmolStr,
@@ -48,29 +48,29 @@
 
     /// Times and limits of dissemination. The defaults are for production.
     pub struct Timing {
-        /// Urgent changes wait at most this long at each hop.
+        /// Longest time that an urgent change waits at each hop.
         pub flush_interval: Duration,
-        /// Other changes wait at most this long at each hop of a full mesh.
+        /// Longest time that other changes wait at each hop of a full mesh.
         pub tick_interval: Duration,
         /// The same in a larger system, where each tick costs more messages.
         pub large_tick_interval: Duration,
-        /// Nodes without verdicts confirm their state this far apart.
+        /// How often nodes without health reports confirm their state.
         pub heartbeat_interval: Duration,
         /// The same in a larger system.
         pub large_heartbeat_interval: Duration,
-        /// Slow items travel this far apart.
+        /// How often low-priority items are sent.
         pub low_priority_interval: Duration,
         /// The same in a larger system.
         pub large_low_priority_interval: Duration,
-        /// All fingerprints are compared with one other node this far apart.
+        /// How often all fingerprints are compared with one other node.
         pub sync_interval: Duration,
-        /// Nodes that are cut off are tried this far apart, one at a time.
+        /// How often one of the lost nodes is tried again.
         pub reconnect_interval: Duration,
-        /// An origin that is silent for this long is forgotten.
+        /// An origin that isn't confirmed for this long is dropped.
         pub expire_after: Duration,
-        /// A call takes at most this long; what is known of a sender's clock starts with it.
+        /// Timeout of a call; also the delay assumed for a sender's first batch.
         pub call_timeout: Duration,
-        /// Most bytes of one batch.
+        /// Largest batch in bytes.
         pub max_batch_bytes: usize,
     }
 }
@@ -95,248 +95,256 @@
 }
 
 value! {
-    /// Who this node is.
+    /// This node's identity and its timing.
     pub struct DisseminationConfig {
         /// This node.
         pub me: Member,
-        /// This start of it. A later start must have a higher one.
+        /// Its incarnation; must rise with each restart.
         pub incarnation: Incarnation,
         /// Times and limits.
         pub timing: Timing,
     }
 }
 
-/// What a tick gives.
+/// The result of a tick.
 #[derive(Clone, Debug, Default)]
 pub struct Output {
-    /// Batches to send, at most one for each node.
+    /// Batches to send, at most one per node.
     pub batches: Vec<(NodeId, Batch)>,
-    /// What expired.
+    /// Changes due to expiry.
     pub updates: Vec<Update>,
 }
 
-/// What is owed to one node beside what the trees give it.
+/// What to send to one node in addition to the changes forwarded along the trees.
 #[derive(Clone, Debug, Default)]
-struct Owed {
-    /// Origins whose whole state it lacks.
-    states: BTreeSet<NodeId>,
-    /// Origins whose confirmation it lacks.
+struct Pending {
+    /// Origins whose full state to send.
+    full_states: BTreeSet<NodeId>,
+    /// Origins whose confirmation to send.
     confirmations: BTreeSet<NodeId>,
-    /// Fingerprints that we lack.
+    /// Fingerprints to request.
     want: BTreeSet<Fingerprint>,
-    /// Whether to ask about the states that nobody confirmed lately.
-    ask_stale: bool,
-    /// Whether to compare all fingerprints with it.
+    /// Whether to query the stale states.
+    query_stale: bool,
+    /// Whether to compare all fingerprints.
     sync: bool,
 }
 
-/// The state that a node holds of all nodes, and what it has yet to hand on.
+/// The state that a node holds of all nodes, and the changes that it has yet to forward.
 ///
 /// Bounded: at most [`MAX_ORIGINS`] origins with a bounded number of items each,
-/// and one mark for each origin and child in the trees.
+/// and one sent version per origin and child in the trees.
 #[derive(Clone, Debug)]
 pub struct Dissemination {
     cfg: DisseminationConfig,
-    /// Our monotonic clock's zero, against which batches are dated.
-    began: Instant,
-    records: BTreeMap<NodeId, Record>,
-    /// Invariant: exactly the fingerprints of `records`.
-    current: BTreeMap<Fingerprint, NodeId>,
-    /// Slow items that wait for their turn.
-    waiting: BTreeMap<ItemKey, Item>,
-    members: BTreeMap<NodeId, Listed>,
-    absent: Absent,
+    /// Zero of the monotonic clock that dates the batches.
+    started_at: Instant,
+    states: BTreeMap<NodeId, OriginState>,
+    /// Invariant: exactly the fingerprints of `states`.
+    by_fingerprint: BTreeMap<Fingerprint, NodeId>,
+    /// Low-priority items that wait for their next interval.
+    deferred: BTreeMap<ItemKey, Item>,
+    members: BTreeMap<NodeId, ListedMember>,
+    lost_nodes: LostNodes,
     overlay: Overlay,
     overlay_outdated: bool,
-    /// How often the overlay was laid out.
-    layouts: u64,
+    /// How often the overlay was rebuilt.
+    overlay_rebuilds: u64,
     backoff: BTreeMap<NodeId, Backoff>,
     clocks: BTreeMap<NodeId, SenderClock>,
-    /// What each child in the trees was sent of each origin: its start and sequence number.
-    marks: BTreeMap<NodeId, BTreeMap<NodeId, (Incarnation, u64)>>,
-    owed: BTreeMap<NodeId, Owed>,
-    due: Due,
-    /// Counts the turns in which other nodes are asked.
-    turn: usize,
+    /// The version of each origin last sent to each child: incarnation and sequence number.
+    sent_versions: BTreeMap<NodeId, BTreeMap<NodeId, (Incarnation, u64)>>,
+    pending: BTreeMap<NodeId, Pending>,
+    timers: Timers,
+    /// Counter that selects nodes in round-robin order.
+    round_robin: usize,
 }
 
-/// Most origins held.
+/// Maximum number of origins.
 pub const MAX_ORIGINS: usize = 8192;
 
-/// A member and since when it is on the list.
+/// A member and when it was added to the list.
 #[derive(Clone, Debug)]
-struct Listed {
+struct ListedMember {
     member: Member,
     since: Instant,
 }
 
-/// When what is next.
+/// When each periodic action is due.
 #[derive(Clone, Debug)]
-struct Due {
-    tick: Instant,
+struct Timers {
+    next_tick: Instant,
     last_tick: Instant,
     /// Whether a round of probes has ended since the last tick.
-    after_probes: bool,
-    alive: Instant,
-    slow: Instant,
-    sync: Instant,
-    probe: Instant,
-    /// The overlay isn't laid out anew before this.
-    overlay: Instant,
+    probe_round_done: bool,
+    next_heartbeat: Instant,
+    next_low_priority: Instant,
+    next_sync: Instant,
+    next_reconnect: Instant,
+    /// The overlay isn't rebuilt before this.
+    next_rebuild: Instant,
 }
 
 impl Dissemination {
-    /// Starts with nothing known but this node.
+    /// Creates the state of a node that knows only itself.
     pub fn new(cfg: DisseminationConfig, now: Instant) -> Dissemination {
-        // Nodes that start together would otherwise tick and sync together for ever.
+        // Without a phase, nodes that start together would always tick and sync together.
         let phase = |period: Duration, what: &str| {
             let hash = stable_hash([cfg.me.id.as_str(), what]);
             now + period.mul_f64((hash % 1000) as f64 / 1000.0)
         };
-        let due = Due {
-            tick: phase(cfg.timing.tick_interval, "tick"),
+        let timers = Timers {
+            next_tick: phase(cfg.timing.tick_interval, "tick"),
             last_tick: now,
-            after_probes: false,
-            alive: phase(cfg.timing.heartbeat_interval, "alive"),
-            slow: phase(cfg.timing.low_priority_interval, "slow"),
-            sync: phase(cfg.timing.sync_interval, "sync"),
-            probe: phase(cfg.timing.reconnect_interval, "probe"),
-            overlay: now,
+            probe_round_done: false,
+            next_heartbeat: phase(cfg.timing.heartbeat_interval, "alive"),
+            next_low_priority: phase(cfg.timing.low_priority_interval, "slow"),
+            next_sync: phase(cfg.timing.sync_interval, "sync"),
+            next_reconnect: phase(cfg.timing.reconnect_interval, "probe"),
+            next_rebuild: now,
         };
-        let own = Record::new(&cfg.me.id, cfg.incarnation, now);
-        let turn = (stable_hash([cfg.me.id.as_str()]) % 1000) as usize;
-        let mut machine = Dissemination {
-            began: now,
-            records: BTreeMap::from([(cfg.me.id.clone(), own)]),
-            current: BTreeMap::new(),
-            waiting: BTreeMap::new(),
+        let own = OriginState::new(&cfg.me.id, cfg.incarnation, now);
+        let round_robin = (stable_hash([cfg.me.id.as_str()]) % 1000) as usize;
+        let mut dissemination = Dissemination {
+            started_at: now,
+            states: BTreeMap::from([(cfg.me.id.clone(), own)]),
+            by_fingerprint: BTreeMap::new(),
+            deferred: BTreeMap::new(),
             members: BTreeMap::new(),
-            absent: Absent::default(),
+            lost_nodes: LostNodes::default(),
             overlay: Overlay::new([(&cfg.me.id, &cfg.me.failure_domain)]),
             overlay_outdated: false,
-            layouts: 0,
+            overlay_rebuilds: 0,
             backoff: BTreeMap::new(),
             clocks: BTreeMap::new(),
-            marks: BTreeMap::new(),
-            owed: BTreeMap::new(),
-            due,
-            turn,
+            sent_versions: BTreeMap::new(),
+            pending: BTreeMap::new(),
+            timers,
+            round_robin,
             cfg,
         };
-        let me = machine.cfg.me.id.clone();
-        machine.index(&me);
-        machine
+        let me = dissemination.cfg.me.id.clone();
+        dissemination.index_fingerprint(&me);
+        dissemination
     }
 
     /// Publishes an item until it is replaced or withdrawn.
     ///
-    /// Loads wait for their turn; only the last value travels, and only when it differs
-    /// enough from the one that the others have. A load that tells of another
-    /// configuration in force, or of strain, goes with the next tick.
+    /// Low-priority items are deferred to their next interval; only the last value is sent,
+    /// and only if it differs enough from the published one. A load with another
+    /// configuration version or a changed overload flag is sent with the next tick.
     pub fn publish(&mut self, item: Item, now: Instant) {
-        if item.pace() != Pace::Slow {
-            self.put(item, None, now);
+        if item.priority() != Priority::Low {
+            self.put_own(item, None, now);
             return;
         }
         let key = item.key();
-        self.waiting.remove(&key);
-        let own = self.records.get(&self.cfg.me.id);
-        match own.and_then(|record| record.get(&key)) {
-            Some(held) if held.is_close_to(&item) => {}
+        self.deferred.remove(&key);
+        let own = self.states.get(&self.cfg.me.id);
+        match own.and_then(|state| state.get(&key)) {
+            Some(held) if held.is_similar_to(&item) => {}
             Some(held) if held.urgent_part() != item.urgent_part() => {
-                self.put(item, None, now);
+                self.put_own(item, None, now);
             }
             _ => {
-                self.waiting.insert(key, item);
+                self.deferred.insert(key, item);
             }
         }
     }
 
     /// Publishes an item that every node drops `ttl` after `now`.
     pub fn publish_with_ttl(&mut self, item: Item, ttl: Duration, now: Instant) {
-        self.put(item, Some(ttl), now);
+        self.put_own(item, Some(ttl), now);
     }
 
-    /// Withdraws an item of ours.
+    /// Withdraws an item of this node.
     pub fn withdraw(&mut self, key: &ItemKey, now: Instant) {
-        self.waiting.remove(key);
-        self.change_own(|record| record.remove(key, now));
+        self.deferred.remove(key);
+        self.update_own(|state| state.remove(key, now));
     }
 
-    /// Says that everything published by this node still held at `as_of`.
+    /// Confirms that everything published by this node was still valid at `as_of`.
     ///
     /// A watcher calls it after each round of probes, with the time of the oldest probe
-    /// that its verdicts rest on. The next flush then takes the place of the tick, so
-    /// that evidence does not age at the very node that gathered it.
+    /// behind its health reports. The next flush then acts as the tick, so that the
+    /// evidence isn't delayed at the node that gathered it.
     pub fn confirm(&mut self, as_of: Instant) {
-        self.change_own(|record| record.confirm(as_of));
-        self.due.after_probes = self.is_watcher(&self.cfg.me.id);
+        self.update_own(|state| state.confirm(as_of));
+        self.timers.probe_round_done = self.is_watcher(&self.cfg.me.id);
     }
 
-    /// Everything held of `origin`, with sequence numbers and times of observation.
+    /// The items held of `origin`, with sequence numbers and times of observation.
     pub fn items_of(&self, origin: &str) -> impl Iterator<Item = (&Item, u64, Instant)> {
-        self.records.get(origin).into_iter().flat_map(Record::items)
+        self.states
+            .get(origin)
+            .into_iter()
+            .flat_map(OriginState::items)
     }
 
-    /// The origins held, their starts and when each was last confirmed.
+    /// The origins held, their incarnations and when each was last confirmed.
     pub fn origins(&self) -> impl Iterator<Item = (&NodeId, Incarnation, Instant)> {
-        self.records
+        self.states
             .iter()
-            .map(|(id, record)| (id, record.incarnation(), record.confirmed()))
+            .map(|(id, state)| (id, state.incarnation(), state.confirmed()))
     }
 
-    /// Who hands what on to whom, as this node sees it.
+    /// The forwarding overlay as this node sees it.
     pub fn overlay(&self) -> &Overlay {
         &self.overlay
     }
 
-    /// How often the overlay was laid out anew.
-    pub fn layouts(&self) -> u64 {
-        self.layouts
+    /// How often the overlay was rebuilt.
+    pub fn overlay_rebuilds(&self) -> u64 {
+        self.overlay_rebuilds
     }
 
-    fn put(&mut self, item: Item, ttl: Option<Duration>, now: Instant) {
+    fn put_own(&mut self, item: Item, ttl: Option<Duration>, now: Instant) {
         let me = &self.cfg.me.id;
-        let moves = match &item {
-            Item::Status(status) => !self.overlay.has_place(me, &status.failure_domain),
+        let is_moved = match &item {
+            Item::Status(status) => !self.overlay.has_position(me, &status.failure_domain),
             _ => false,
         };
-        self.change_own(|record| record.put(item, ttl, now));
-        self.overlay_outdated |= moves;
+        self.update_own(|state| state.put(item, ttl, now));
+        self.overlay_outdated |= is_moved;
     }
 
-    fn change_own(&mut self, change: impl FnOnce(&mut Record) -> bool) {
+    fn update_own(&mut self, change: impl FnOnce(&mut OriginState) -> bool) {
         let me = self.cfg.me.id.clone();
-        self.change(&me, change);
+        self.update_state(&me, change);
     }
 
-    /// Changes a record and keeps the index of fingerprints true.
-    fn change<T>(&mut self, origin: &NodeId, change: impl FnOnce(&mut Record) -> T) -> Option<T> {
-        let record = self.records.get_mut(origin)?;
-        let before = record.fingerprint();
-        let result = change(record);
-        let after = record.fingerprint();
+    /// Changes a state and keeps the fingerprint index consistent.
+    fn update_state<T>(
+        &mut self,
+        origin: &NodeId,
+        change: impl FnOnce(&mut OriginState) -> T,
+    ) -> Option<T> {
+        let state = self.states.get_mut(origin)?;
+        let before = state.fingerprint();
+        let result = change(state);
+        let after = state.fingerprint();
         if before != after {
-            self.current.remove(&before);
-            self.current.insert(after, origin.clone());
+            self.by_fingerprint.remove(&before);
+            self.by_fingerprint.insert(after, origin.clone());
         }
         Some(result)
     }
 
-    fn index(&mut self, origin: &NodeId) {
-        if let Some(record) = self.records.get(origin) {
-            self.current.insert(record.fingerprint(), origin.clone());
+    fn index_fingerprint(&mut self, origin: &NodeId) {
+        if let Some(state) = self.states.get(origin) {
+            self.by_fingerprint
+                .insert(state.fingerprint(), origin.clone());
         }
     }
 }
 
-/// How long ago `at` was, in whole milliseconds rounded up.
+/// Age of `at` in whole milliseconds, rounded up.
 fn age_ms(at: Instant, now: Instant) -> u64 {
-    let age = now.saturating_duration_since(at).min(LONG_AGO);
+    let age = now.saturating_duration_since(at).min(MAX_AGE);
     age.as_micros().div_ceil(1000) as u64
 }
 
-/// The instant `age` before `now`; `None` where the clock does not reach back so far.
-fn before(now: Instant, age: Duration) -> Option<Instant> {
-    now.checked_sub(age.min(LONG_AGO))
+/// The instant `age` before `now`; `None` if the clock can't represent it.
+fn instant_ago(now: Instant, age: Duration) -> Option<Instant> {
+    now.checked_sub(age.min(MAX_AGE))
 }
--- a/crates/peer/src/dissemination/send.rs
+++ b/crates/peer/src/dissemination/send.rs
@@ -1,4 +1,4 @@
-//! Putting batches together.
+//! Builds the batches to send.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -6,113 +6,118 @@
 use eelgrassmill_base::NodeId;
 use prost::Message;
 
-use crate::dissemination::receive::{AGE_UNIT, MAX_ASKED};
-use crate::dissemination::record::Record;
-use crate::dissemination::{Dissemination, Output, Owed};
-use crate::item::{ItemKey, Pace, Update};
+use crate::dissemination::origin_state::OriginState;
+use crate::dissemination::receive::{AGE_UNIT, MAX_FINGERPRINTS_PER_QUERY};
+use crate::dissemination::{Dissemination, Output, Pending};
+use crate::item::{ItemKey, Priority, Update};
 use crate::wire::messages::Batch;
 
-/// Most bytes that an update takes in a batch beside its own: a tag and its length.
-const UPDATE_OVERHEAD: usize = 6;
-/// A node that has just started compares with others at each tick for this long.
-const INTRODUCTION: Duration = Duration::from_secs(3);
-/// Confirmations are missed after this many of their periods.
-const MISSED_PERIODS: u32 = 3;
+/// Most bytes that an update adds to a batch beyond its own encoding: a tag and a length.
+const UPDATE_OVERHEAD_BYTES: usize = 6;
+/// A node that has just started syncs at each tick for this long.
+const STARTUP_SYNC_PERIOD: Duration = Duration::from_secs(3);
+/// A state is stale after this many periods without a confirmation.
+const MAX_MISSED_HEARTBEATS: u32 = 3;
 
-/// A batch that is being put together.
-struct Draft {
+/// A batch that is being built.
+struct BatchBuilder {
     batch: Batch,
-    /// Bytes of its updates. Summed up as they are added: measuring the batch anew for each of
-    /// them would cost the square of their number.
-    updates_size: usize,
+    /// Bytes of its updates, summed up as they are added: measuring the batch again for each of
+    /// them would take quadratic time.
+    updates_bytes: usize,
 }
 
-impl Draft {
-    fn new(batch: Batch) -> Draft {
-        Draft {
+impl BatchBuilder {
+    fn new(batch: Batch) -> BatchBuilder {
+        BatchBuilder {
             batch,
-            updates_size: 0,
+            updates_bytes: 0,
         }
     }
 }
 
 impl Dissemination {
-    /// Gives what is due at `now`; to be called once in each flush period.
+    /// Returns what is due at `now`; to be called once per flush interval.
     pub fn tick(&mut self, now: Instant) -> Output {
         let mut output = Output::default();
-        let ticks = self.is_tick(now);
-        if ticks {
+        let is_tick = self.is_tick(now);
+        if is_tick {
             output.updates = self.expire(now);
-            self.note_silent_members(now);
+            self.mark_silent_members_lost(now);
         }
         self.refresh_overlay(now);
-        if ticks {
-            self.publish_slow(now);
-            self.confirm_alive(now);
-            self.ask_others(now);
+        if is_tick {
+            self.publish_low_priority(now);
+            self.confirm_own(now);
+            self.schedule_anti_entropy(now);
         }
-        let pace = if ticks { Pace::Normal } else { Pace::Urgent };
-        let mut drafts = self.hand_on(pace, now);
-        for node in self.owed.keys().cloned().collect::<Vec<_>>() {
-            drafts.entry(node).or_insert_with(|| self.empty_batch(now));
+        let priority = if is_tick {
+            Priority::Normal
+        } else {
+            Priority::Urgent
+        };
+        let mut builders = self.forward_changes(priority, now);
+        for node in self.pending.keys().cloned().collect::<Vec<_>>() {
+            builders
+                .entry(node)
+                .or_insert_with(|| self.empty_batch(now));
         }
         let unreachable = self.unreachable(now);
-        for (node, mut batch) in drafts {
+        for (node, mut batch) in builders {
             if unreachable.contains(&node) {
-                self.owed.remove(&node);
+                self.pending.remove(&node);
                 continue;
             }
-            self.add_owed(&node, &mut batch, now);
+            self.add_pending(&node, &mut batch, now);
             output.batches.push((node, batch));
         }
         output
     }
 
-    /// Whether this flush is a tick; if so, plans the next one.
+    /// Whether this flush is a tick; if so, schedules the next one.
     fn is_tick(&mut self, now: Instant) -> bool {
         let period = self.tick_period();
-        // Confirmations that come more often than ticks must not make more of them.
-        let probed = self.due.after_probes && now >= self.due.last_tick + period * 9 / 10;
-        if !probed && now < self.due.tick {
+        // Confirmations more frequent than ticks must not cause additional ticks.
+        let probed = self.timers.probe_round_done && now >= self.timers.last_tick + period * 9 / 10;
+        if !probed && now < self.timers.next_tick {
             return false;
         }
-        // After a round of probes the next tick waits a little longer than a period,
-        // for the next round: ticking just before its end would cost it a period.
+        // After a round of probes the next tick waits slightly longer than a period for the
+        // next round: a tick just before its end would delay its results by a period.
         let grace = if probed { period / 5 } else { Duration::ZERO };
-        self.due.tick = now + period + grace;
-        self.due.last_tick = now;
-        self.due.after_probes = false;
+        self.timers.next_tick = now + period + grace;
+        self.timers.last_tick = now;
+        self.timers.probe_round_done = false;
         true
     }
 
-    /// What is owed to `to` at this moment, as the answer to a batch from it. It is
-    /// empty when that is nothing.
+    /// The reply to a batch from `to` with what is pending for it; empty if nothing is.
     pub fn answer(&mut self, to: &NodeId, now: Instant) -> Batch {
-        if !self.owed.contains_key(to) {
+        if !self.pending.contains_key(to) {
             return Batch::default();
         }
         let mut batch = self.empty_batch(now);
-        self.add_owed(to, &mut batch, now);
+        self.add_pending(to, &mut batch, now);
         batch
     }
 
-    /// A first batch for a node of which only the address is known.
+    /// The first batch to a node of which only the address is known.
     pub fn hello(&self, now: Instant) -> Batch {
         let mut batch = self.empty_batch(now);
         batch.sync = true;
-        batch.have = self.current.keys().copied().collect();
+        batch.have = self.by_fingerprint.keys().copied().collect();
         self.add_own(&mut batch, now);
         batch
     }
 
     fn add_own(&self, batch: &mut Batch, now: Instant) {
         let me = &self.cfg.me.id;
-        if let Some(record) = self.records.get(me) {
-            batch.updates.push(record.since(me, 0, now));
+        if let Some(state) = self.states.get(me) {
+            batch.updates.push(state.delta_since(me, 0, now));
         }
     }
 
-    /// How far apart ticks are in a system of this size.
+    /// The tick interval for a system of this size.
     pub fn tick_period(&self) -> Duration {
         if self.overlay.is_mesh() {
             self.cfg.timing.tick_interval
@@ -121,7 +126,7 @@
         }
     }
 
-    fn alive_period(&self) -> Duration {
+    fn heartbeat_period(&self) -> Duration {
         if self.overlay.is_mesh() {
             self.cfg.timing.heartbeat_interval
         } else {
@@ -129,7 +134,7 @@
         }
     }
 
-    fn slow_period(&self) -> Duration {
+    fn low_priority_period(&self) -> Duration {
         if self.overlay.is_mesh() {
             self.cfg.timing.low_priority_interval
         } else {
@@ -139,13 +144,13 @@
 
     fn expire(&mut self, now: Instant) -> Vec<Update> {
         let mut updates = self.expire_origins(now);
-        let origins: Vec<NodeId> = self.records.keys().cloned().collect();
+        let origins: Vec<NodeId> = self.states.keys().cloned().collect();
         for origin in origins {
-            let Some(record) = self.records.get_mut(&origin) else {
+            let Some(state) = self.states.get_mut(&origin) else {
                 continue;
             };
-            let incarnation = record.incarnation();
-            updates.extend(record.expire(now).into_iter().map(|key| Update {
+            let incarnation = state.incarnation();
+            updates.extend(state.expire(now).into_iter().map(|key| Update {
                 origin: origin.clone(),
                 incarnation,
                 change: crate::item::Change::Removed(key),
@@ -154,60 +159,60 @@
         updates
     }
 
-    /// Confirms this node when no probes do it.
-    fn confirm_alive(&mut self, now: Instant) {
-        if now >= self.due.alive {
-            self.due.alive = now + self.alive_period();
+    /// Confirms this node's state if it has no probes that do so.
+    fn confirm_own(&mut self, now: Instant) {
+        if now >= self.timers.next_heartbeat {
+            self.timers.next_heartbeat = now + self.heartbeat_period();
             if !self.is_watcher(&self.cfg.me.id) {
                 self.confirm(now);
             }
         }
     }
 
-    /// Publishes the slow items when it is time.
-    fn publish_slow(&mut self, now: Instant) {
-        if now < self.due.slow {
+    /// Publishes the deferred low-priority items when due.
+    fn publish_low_priority(&mut self, now: Instant) {
+        if now < self.timers.next_low_priority {
             return;
         }
-        self.due.slow = now + self.slow_period();
-        for item in std::mem::take(&mut self.waiting).into_values() {
-            self.change_own(|record| record.put(item, None, now));
+        self.timers.next_low_priority = now + self.low_priority_period();
+        for item in std::mem::take(&mut self.deferred).into_values() {
+            self.update_own(|state| state.put(item, None, now));
         }
     }
 
-    /// Asks one other node about what the trees have not brought, and now and then
-    /// about everything.
-    fn ask_others(&mut self, now: Instant) {
+    /// Schedules a query of stale states, a sync with a peer, and a sync with a lost node,
+    /// each when due.
+    fn schedule_anti_entropy(&mut self, now: Instant) {
         let unreachable = self.unreachable(now);
-        if self.records.keys().any(|origin| self.is_stale(origin, now))
-            && let Some(node) = self.next_in_turn(&unreachable)
+        if self.states.keys().any(|origin| self.is_stale(origin, now))
+            && let Some(node) = self.next_round_robin(&unreachable)
         {
-            self.owed.entry(node).or_default().ask_stale = true;
+            self.pending.entry(node).or_default().query_stale = true;
         }
-        if now >= self.due.sync {
-            let is_new = now.saturating_duration_since(self.began) < INTRODUCTION;
+        if now >= self.timers.next_sync {
+            let is_new = now.saturating_duration_since(self.started_at) < STARTUP_SYNC_PERIOD;
             let pause = if is_new {
                 Duration::ZERO
             } else {
                 self.cfg.timing.sync_interval
             };
-            self.due.sync = now + pause;
-            if let Some(node) = self.next_near(&unreachable) {
-                self.owed.entry(node).or_default().sync = true;
+            self.timers.next_sync = now + pause;
+            if let Some(node) = self.next_sync_peer(&unreachable) {
+                self.pending.entry(node).or_default().sync = true;
             }
         }
-        if now >= self.due.probe {
-            self.due.probe = now + self.cfg.timing.reconnect_interval;
-            if let Some(node) = self.next_absent(&unreachable) {
-                self.owed.entry(node).or_default().sync = true;
+        if now >= self.timers.next_reconnect {
+            self.timers.next_reconnect = now + self.cfg.timing.reconnect_interval;
+            if let Some(node) = self.next_lost_node(&unreachable) {
+                self.pending.entry(node).or_default().sync = true;
             }
         }
     }
 
     pub(super) fn is_watcher(&self, origin: &NodeId) -> bool {
-        self.records
+        self.states
             .get(origin)
-            .is_some_and(|record| record.keys().any(|key| matches!(key, ItemKey::Health(_))))
+            .is_some_and(|state| state.keys().any(|key| matches!(key, ItemKey::Health(_))))
     }
 
     /// Whether too many confirmations of `origin` were missed.
@@ -218,124 +223,133 @@
         let period = if self.is_watcher(origin) {
             self.tick_period()
         } else {
-            self.alive_period()
+            self.heartbeat_period()
         };
-        self.records.get(origin).is_some_and(|record| {
-            now.saturating_duration_since(record.confirmed()) > period * MISSED_PERIODS
+        self.states.get(origin).is_some_and(|state| {
+            now.saturating_duration_since(state.confirmed()) > period * MAX_MISSED_HEARTBEATS
         })
     }
 
-    /// Gives the children in the trees what is new at `pace` or faster.
-    fn hand_on(&mut self, pace: Pace, now: Instant) -> BTreeMap<NodeId, Batch> {
+    /// Builds batches of the changes of at least `priority` for the children in the trees.
+    fn forward_changes(&mut self, priority: Priority, now: Instant) -> BTreeMap<NodeId, Batch> {
         let unreachable = self.unreachable(now);
         let me = &self.cfg.me.id;
-        let relays = self.overlay.is_relay(me);
-        let is_due = |record: &Record| record.news >= Some(pace) && record.sequence() > 0;
+        let is_relay = self.overlay.is_relay(me);
+        let is_due = |state: &OriginState| state.unsent >= Some(priority) && state.sequence() > 0;
         let origins: Vec<NodeId> = self
-            .records
+            .states
             .iter()
-            .filter(|(origin, record)| is_due(record) && (relays || *origin == me))
+            .filter(|(origin, state)| is_due(state) && (is_relay || *origin == me))
             .map(|(origin, _)| origin.clone())
             .collect();
-        let mut drafts: BTreeMap<NodeId, Draft> = BTreeMap::new();
+        let mut builders: BTreeMap<NodeId, BatchBuilder> = BTreeMap::new();
         for origin in origins {
             let children = self
                 .overlay
                 .children(&self.cfg.me.id, &origin, &unreachable);
             for child in children.into_iter().filter(|child| *child != origin) {
-                let draft = drafts
+                let builder = builders
                     .entry(child.clone())
-                    .or_insert_with(|| Draft::new(self.empty_batch(now)));
-                self.add_news(&child, &origin, draft, now);
+                    .or_insert_with(|| BatchBuilder::new(self.empty_batch(now)));
+                self.add_changes(&child, &origin, builder, now);
             }
-            if let Some(record) = self.records.get_mut(&origin) {
-                record.news = None;
+            if let Some(state) = self.states.get_mut(&origin) {
+                state.unsent = None;
             }
         }
-        let batches = drafts.into_iter();
-        batches.map(|(node, draft)| (node, draft.batch)).collect()
+        let batches = builders.into_iter();
+        batches
+            .map(|(node, builder)| (node, builder.batch))
+            .collect()
     }
 
-    /// Adds what `child` was not sent of `origin` yet.
-    fn add_news(&mut self, child: &NodeId, origin: &NodeId, draft: &mut Draft, now: Instant) {
-        let Some(record) = self.records.get(origin) else {
+    /// Adds the changes of `origin` that `child` wasn't sent yet.
+    fn add_changes(
+        &mut self,
+        child: &NodeId,
+        origin: &NodeId,
+        builder: &mut BatchBuilder,
+        now: Instant,
+    ) {
+        let Some(state) = self.states.get(origin) else {
             return;
         };
-        let state = (record.incarnation(), record.sequence());
-        let marks = self.marks.entry(child.clone()).or_default();
-        let known = match marks.get(origin) {
-            Some(&mark) if mark == state => {
-                add_confirmation(&mut draft.batch, record, now);
+        let version = (state.incarnation(), state.sequence());
+        let versions = self.sent_versions.entry(child.clone()).or_default();
+        let known = match versions.get(origin) {
+            Some(&sent) if sent == version => {
+                add_confirmation(&mut builder.batch, state, now);
                 return;
             }
-            Some(&(incarnation, sequence)) if incarnation == state.0 => sequence,
+            Some(&(incarnation, sequence)) if incarnation == version.0 => sequence,
             _ => 0,
         };
-        let update = record.since(origin, known, now);
-        let size = draft.updates_size + update.encoded_len() + UPDATE_OVERHEAD;
+        let update = state.delta_since(origin, known, now);
+        let size = builder.updates_bytes + update.encoded_len() + UPDATE_OVERHEAD_BYTES;
         if size > self.cfg.timing.max_batch_bytes {
-            // Without the mark it is sent whole with the next news, or asked for before.
-            marks.remove(origin);
-            add_confirmation(&mut draft.batch, record, now);
+            // Without a sent version the full state goes with the next change, unless the child
+            // requests it earlier.
+            versions.remove(origin);
+            add_confirmation(&mut builder.batch, state, now);
             return;
         }
-        marks.insert(origin.clone(), state);
-        draft.updates_size = size;
-        draft.batch.updates.push(update);
+        versions.insert(origin.clone(), version);
+        builder.updates_bytes = size;
+        builder.batch.updates.push(update);
     }
 
-    /// Adds what is owed to `to`; what does not fit stays owed.
-    fn add_owed(&mut self, to: &NodeId, batch: &mut Batch, now: Instant) {
-        let Some(mut owed) = self.owed.remove(to) else {
+    /// Adds what is pending for `to`, up to the size limit; the receiver syncs again for the rest.
+    fn add_pending(&mut self, to: &NodeId, batch: &mut Batch, now: Instant) {
+        let Some(mut pending) = self.pending.remove(to) else {
             return;
         };
-        batch.want = owed.want.iter().copied().collect();
-        if owed.ask_stale {
-            batch.stale = self.stale_states(now);
+        batch.want = pending.want.iter().copied().collect();
+        if pending.query_stale {
+            batch.stale = self.stale_fingerprints(now);
         }
-        if owed.sync {
+        if pending.sync {
             batch.sync = true;
-            batch.have = self.current.keys().copied().collect();
+            batch.have = self.by_fingerprint.keys().copied().collect();
             self.add_own(batch, now);
         }
-        for origin in &owed.confirmations {
-            if let Some(record) = self.records.get(origin) {
-                add_confirmation(batch, record, now);
+        for origin in &pending.confirmations {
+            if let Some(state) = self.states.get(origin) {
+                add_confirmation(batch, state, now);
             }
         }
-        self.add_states(&mut owed, batch, now);
-        if !owed.states.is_empty() {
+        self.add_states(&mut pending, batch, now);
+        if !pending.full_states.is_empty() {
             batch.more = true;
         }
     }
 
-    fn add_states(&mut self, owed: &mut Owed, batch: &mut Batch, now: Instant) {
+    fn add_states(&mut self, pending: &mut Pending, batch: &mut Batch, now: Instant) {
         let mut size = batch.encoded_len();
-        while let Some(origin) = owed.states.pop_first() {
-            let Some(record) = self.records.get(&origin) else {
+        while let Some(origin) = pending.full_states.pop_first() {
+            let Some(state) = self.states.get(&origin) else {
                 continue;
             };
-            let update = record.since(&origin, 0, now);
-            size += update.encoded_len() + UPDATE_OVERHEAD;
+            let update = state.delta_since(&origin, 0, now);
+            size += update.encoded_len() + UPDATE_OVERHEAD_BYTES;
             if size > self.cfg.timing.max_batch_bytes {
-                owed.states.insert(origin);
+                pending.full_states.insert(origin);
                 return;
             }
             batch.updates.push(update);
         }
     }
 
-    fn stale_states(&self, now: Instant) -> Vec<u32> {
-        self.records
+    fn stale_fingerprints(&self, now: Instant) -> Vec<u32> {
+        self.states
             .iter()
             .filter(|(origin, _)| self.is_stale(origin, now))
-            .map(|(_, record)| record.fingerprint())
-            .take(MAX_ASKED)
+            .map(|(_, state)| state.fingerprint())
+            .take(MAX_FINGERPRINTS_PER_QUERY)
             .collect()
     }
 
     fn empty_batch(&self, now: Instant) -> Batch {
-        let sent = now.saturating_duration_since(self.began);
+        let sent = now.saturating_duration_since(self.started_at);
         Batch {
             from: self.cfg.me.id.to_string(),
             incarnation: self.cfg.incarnation,
@@ -345,10 +359,10 @@
     }
 }
 
-fn add_confirmation(batch: &mut Batch, record: &Record, now: Instant) {
-    let age = now.saturating_duration_since(record.confirmed());
+fn add_confirmation(batch: &mut Batch, state: &OriginState, now: Instant) {
+    let age = now.saturating_duration_since(state.confirmed());
     let units = age.as_millis().div_ceil(AGE_UNIT.as_millis());
-    batch.confirmed.push(record.fingerprint());
+    batch.confirmed.push(state.fingerprint());
     batch
         .confirmed_age
         .push(u32::try_from(units).unwrap_or(u32::MAX));
--- a/crates/peer/src/item.rs
+++ b/crates/peer/src/item.rs
@@ -1,4 +1,4 @@
-//! What nodes tell each other: items of soft state and their keys.
+//! The items of soft state that nodes exchange, and their keys.
 
 use std::time::{Duration, Instant};
 
@@ -9,29 +9,29 @@
 use smol_str::SmolStr;
 
 value! {
-    /// One item of soft state, which belongs to the node that published it.
+    /// An item of soft state, owned by the node that publishes it.
     pub enum Item {
-        /// A configuration that was accepted.
+        /// An accepted configuration.
         Config(ConfigAnnouncement),
-        /// What a watcher found of a group.
+        /// A watcher's report on a group's health.
         Health(HealthReport),
-        /// What the node is.
+        /// The node's addresses and state.
         Status(NodeStatus),
-        /// What changes often at the node.
+        /// The node's load.
         Load(NodeLoad),
-        /// A target that takes no new work.
+        /// A target that takes no new requests.
         Leaving(LeavingTarget),
-        /// A request under suspicion of killing targets.
+        /// A request suspected of crashing targets.
         Suspect(Suspect),
         /// The load of a group.
         GroupLoad(GroupLoad),
-        /// What tenants have used at the node.
+        /// What a tenant has used at the node.
         Usage(TenantUsage),
-        /// A group's row, told by the node that plans it.
+        /// A group's row, published by its planner.
         Group(GroupRecord),
     }
 
-    /// A configuration that was accepted; its text is fetched on demand.
+    /// Announces an accepted configuration; its text is fetched on demand.
     pub struct ConfigAnnouncement {
         /// Its version.
         pub version: ConfigVersion,
@@ -39,21 +39,21 @@
         pub checksum: SmolStr,
     }
 
-    /// What a watcher found of a group.
+    /// A watcher's report on a group's health.
     pub struct HealthReport {
         /// The group.
         pub group: GroupId,
-        /// The epoch it was found in.
+        /// The epoch that was checked.
         pub epoch: Epoch,
-        /// Whether the group may serve.
+        /// Whether the group may receive requests.
         pub serving: bool,
-        /// The watcher's code for the reason; its meaning is the group policy's.
+        /// The watcher's code for the reason, defined by the group policy.
         pub code: u32,
-        /// The reason in words, at most [`MAX_TEXT_BYTES`] bytes.
+        /// The reason as text, at most [`MAX_TEXT_BYTES`] bytes.
         pub reason: SmolStr,
     }
 
-    /// What a node is.
+    /// A node's addresses and state.
     pub struct NodeStatus {
         /// `IP:PORT` for other nodes.
         pub peer_address: SmolStr,
@@ -65,51 +65,51 @@
         pub failure_domain: FailureDomain,
         /// Its region.
         pub region: Region,
-        /// Whether it is about to stop.
+        /// Whether it is shutting down.
         pub leaving: bool,
-        /// Processor that it may use, in thousandths of a core; 0 where it doesn't say.
+        /// CPU that it may use, in thousandths of a core; 0 if unknown.
         pub cpu_millicores: u32,
     }
 
-    /// What changes often at a node. It travels with the slow items.
+    /// A node's load, a low-priority item.
     pub struct NodeLoad {
-        /// The configuration in force there; 0 for none.
+        /// Version of the active configuration; 0 for none.
         pub config_version: ConfigVersion,
-        /// How full it is, in thousandths.
+        /// Load in thousandths of the capacity.
         pub load_permille: u32,
-        /// Whether it has too little processor for what it does.
+        /// Whether it lacks CPU for its work.
         pub overloaded: bool,
     }
 
-    /// A target that takes no new work.
+    /// A target that takes no new requests.
     pub struct LeavingTarget {
         /// Its host.
         pub host: HostId,
-        /// The start of the host that said so; 0 where the host list said it.
+        /// The incarnation of the host that reported it; 0 if the host list did.
         pub incarnation: Incarnation,
     }
 
-    /// A request under suspicion of killing targets.
+    /// A request suspected of crashing targets.
     pub struct Suspect {
         /// Fingerprint of the request.
         pub fingerprint: SmolStr,
-        /// What is known of it; opaque here, at most [`MAX_SUSPECT_RECORD_BYTES`] bytes.
+        /// Opaque record of it, at most [`MAX_SUSPECT_RECORD_BYTES`] bytes.
         pub record: Vec<u8>,
     }
 
-    /// The load of a group. It travels with the slow items.
+    /// The load of a group, a low-priority item.
     pub struct GroupLoad {
         /// The group.
         pub group: GroupId,
         /// The epoch it was measured in.
         pub epoch: Epoch,
-        /// Requests that run.
+        /// Running requests.
         pub running: u32,
-        /// Requests that wait at the group.
+        /// Requests queued at the group.
         pub waiting: u32,
         /// Requests of all nodes that this node, as the group's scheduler, has assigned to it.
         pub assigned: u32,
-        /// Whether it rejects all requests.
+        /// Whether it is ejected since it rejects all requests.
         pub ejected: bool,
     }
 
@@ -119,11 +119,11 @@
         pub group: GroupId,
         /// The row's version in the table.
         pub version: RowVersion,
-        /// The row and what else is told with it; opaque here, at most [`MAX_GROUP_RECORD_BYTES`] bytes.
+        /// Opaque row with related data, at most [`MAX_GROUP_RECORD_BYTES`] bytes.
         pub record: Vec<u8>,
     }
 
-    /// What one tenant has used of a service at the node. It travels with the slow items.
+    /// What one tenant has used of a service at the node, a low-priority item.
     pub struct TenantUsage {
         /// The service.
         pub service: ServiceName,
@@ -131,56 +131,56 @@
         pub tenant: TenantId,
         /// The tenant's weight.
         pub weight: u32,
-        /// Tokens since the node's start, so that a lost or doubled report does no harm.
+        /// Cumulative tokens since the node's start, so that lost or duplicate reports do no harm.
         pub tokens: i64,
     }
 
-    /// A change that a node learned of.
+    /// A change of an origin's state that this node has received.
     pub struct Update {
         /// The node whose state changed.
         pub origin: NodeId,
-        /// Its start.
+        /// Its incarnation.
         pub incarnation: Incarnation,
-        /// What changed.
+        /// The change.
         pub change: Change,
     }
 
-    /// What changed at an origin.
+    /// A change of an origin's state.
     pub enum Change {
-        /// An item is new or has a new value.
+        /// An item was added or changed.
         Put {
             /// The item.
             item: Item,
             /// The origin's sequence number of the change.
             sequence: u64,
-            /// When it was observed, on this node's clock and never later than it truly was.
+            /// When it was observed, on this node's clock; never later than the actual time.
             as_of: Instant,
-            /// It is dropped at this age.
+            /// Age at which it expires.
             ttl: Option<Duration>,
         },
-        /// An item is gone.
+        /// An item was removed.
         Removed(ItemKey),
-        /// Every item held of this origin still held at this instant.
+        /// All items held of this origin were still valid at this instant.
         Confirmed(Instant),
-        /// The origin was silent for too long, or has restarted: nothing that it said counts.
+        /// The origin expired or has restarted; all its former items are void.
         Forgotten,
     }
 }
 
-/// Names one item of an origin.
+/// Identifies an item of an origin.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ItemKey {
-    /// The configuration that it announces.
+    /// The announced configuration.
     Config,
-    /// Its verdict on a group.
+    /// The health report on a group.
     Health(GroupId),
-    /// Its status.
+    /// The node's status.
     Status,
-    /// Its load.
+    /// The node's load.
     Load,
-    /// A leaving target that it reports.
+    /// A leaving target.
     Leaving(HostId),
-    /// A suspect by fingerprint.
+    /// A suspect, by fingerprint.
     Suspect(SmolStr),
     /// The load of a group.
     GroupLoad(GroupId),
@@ -192,39 +192,39 @@
 
 /// Longest name or reason, in bytes.
 pub const MAX_TEXT_BYTES: usize = 200;
-/// Longest record of a group, in bytes: a row of some tens of members with their addresses.
+/// Longest record of a group, in bytes: a row with some tens of members and their addresses.
 pub const MAX_GROUP_RECORD_BYTES: usize = 16 * 1024;
 /// Longest record of a suspect, in bytes.
 pub const MAX_SUSPECT_RECORD_BYTES: usize = 2048;
 
-/// A node's load is told anew when it has changed by this many thousandths.
-const LOAD_STEP: u32 = 50;
+/// A node's load is published again after a change by this many thousandths.
+const MIN_LOAD_CHANGE_PERMILLE: u32 = 50;
 
-/// How soon a change of an item must travel.
+/// How soon a change must be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Pace {
-    /// With the slow items, a few seconds apart.
-    Slow,
-    /// On the next tick.
+pub(crate) enum Priority {
+    /// At the low-priority interval of some seconds.
+    Low,
+    /// With the next tick.
     Normal,
-    /// On the next flush.
+    /// With the next flush.
     Urgent,
 }
 
 impl GroupLoad {
-    /// Whether it differs from a group that nobody has reported.
+    /// Whether it differs from the default load of an unreported group.
     pub fn is_reportable(&self) -> bool {
-        self.work() > 0 || self.ejected
+        self.total_requests() > 0 || self.ejected
     }
 
-    fn work(&self) -> u32 {
+    fn total_requests(&self) -> u32 {
         let own = self.running.saturating_add(self.waiting);
         own.saturating_add(self.assigned)
     }
 }
 
 impl Item {
-    /// The key under which its origin holds it.
+    /// The item's key.
     pub fn key(&self) -> ItemKey {
         match self {
             Item::Config(_) => ItemKey::Config,
@@ -239,25 +239,25 @@
         }
     }
 
-    /// Whether the others can do with this item in place of `new`. Loads change all
-    /// the time, and each change costs every node some bytes.
-    pub(crate) fn is_close_to(&self, new: &Item) -> bool {
+    /// Whether `new` is too similar to be published in place of this item. Loads change
+    /// all the time, and each published change costs every node some bytes.
+    pub(crate) fn is_similar_to(&self, new: &Item) -> bool {
         match (self, new) {
             (Item::Load(a), Item::Load(b)) => {
                 a.config_version == b.config_version
                     && a.overloaded == b.overloaded
-                    && a.load_permille.abs_diff(b.load_permille) < LOAD_STEP
+                    && a.load_permille.abs_diff(b.load_permille) < MIN_LOAD_CHANGE_PERMILLE
             }
             (Item::GroupLoad(a), Item::GroupLoad(b)) => {
-                let step = (a.work() / 4).max(1);
+                let step = (a.total_requests() / 4).max(1);
                 let same = a.epoch == b.epoch && a.ejected == b.ejected;
-                same && a.work().abs_diff(b.work()) < step
+                same && a.total_requests().abs_diff(b.total_requests()) < step
             }
             (a, b) => a == b,
         }
     }
 
-    /// What a load says that others act on at once: the configuration in force, and strain.
+    /// The part of a load that others act on at once: configuration version and overload.
     pub(crate) fn urgent_part(&self) -> Option<(ConfigVersion, bool)> {
         match self {
             Item::Load(load) => Some((load.config_version, load.overloaded)),
@@ -265,13 +265,15 @@
         }
     }
 
-    pub(crate) fn pace(&self) -> Pace {
+    pub(crate) fn priority(&self) -> Priority {
         match self {
-            Item::Config(_) | Item::Leaving(_) | Item::Suspect(_) | Item::Group(_) => Pace::Urgent,
-            Item::Health(v) if !v.serving => Pace::Urgent,
-            Item::Status(s) if s.leaving => Pace::Urgent,
-            Item::Health(_) | Item::Status(_) => Pace::Normal,
-            Item::Load(_) | Item::GroupLoad(_) | Item::Usage(_) => Pace::Slow,
+            Item::Config(_) | Item::Leaving(_) | Item::Suspect(_) | Item::Group(_) => {
+                Priority::Urgent
+            }
+            Item::Health(v) if !v.serving => Priority::Urgent,
+            Item::Status(s) if s.leaving => Priority::Urgent,
+            Item::Health(_) | Item::Status(_) => Priority::Normal,
+            Item::Load(_) | Item::GroupLoad(_) | Item::Usage(_) => Priority::Low,
         }
     }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -29,7 +29,7 @@
 };
 pub use crate::meter::Traffic;
 pub use crate::node::{HlcTimestamp, PeerHandler, PeerNode, PeerNodeConfig};
-pub use crate::overlay::{FAN_OUT, MESH_LIMIT, Overlay};
+pub use crate::overlay::{FAN_OUT, MAX_MESH_NODES, Overlay};
 pub use crate::wire::messages::{
     Batch, Item as WireItem, Kind as WireKind, ListReply, ListRequest, OriginUpdate, QuotaDemand,
     QuotaGrant, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, SlotDecision, SlotEvent,
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -466,7 +466,7 @@
         self.leave(&node);
         match result {
             Ok(answer) => self.receive_answer(&node, answer),
-            Err(_) => self.state().failed(&node, Instant::now()),
+            Err(_) => self.state().on_call_failed(&node, Instant::now()),
         }
     }
 
@@ -569,7 +569,7 @@
             let inner = Arc::clone(inner);
             tokio::spawn(async move { inner.exchange(node, batch).await });
         } else {
-            inner.state().failed(&node, Instant::now());
+            inner.state().on_call_failed(&node, Instant::now());
         }
     }
 }
--- a/crates/peer/src/overlay.rs
+++ b/crates/peer/src/overlay.rs
@@ -1,58 +1,57 @@
-//! Who hands what on to whom.
+//! The overlay along which nodes forward state.
 //!
-//! A pure function of the list of nodes, so that nothing has to be agreed. A
-//! small system is a full mesh. In a larger one, the nodes of each failure
-//! domain stand in a ring. What an origin says goes to its domain, and to one
-//! partner in each other domain; inside a domain it goes down a tree that is
-//! rooted at the origin or its partner. Each origin has its own trees, hence the
-//! work is spread evenly, every node receives each change once, and no node is
-//! set apart. Where a child can't be reached, its parent serves the child's
-//! children in its stead.
+//! It is a pure function of the list of nodes and needs no agreement. A small
+//! system is a full mesh. In a larger one, the nodes of each failure domain form
+//! a ring. An origin sends its state to its own domain and to one partner in each
+//! other domain; within a domain it is forwarded along a tree rooted at the origin
+//! or its partner. Each origin has its own trees, so the load is spread evenly,
+//! every node receives each change once, and no node is special. If a child is
+//! unreachable, its parent sends to the child's children directly.
 //!
-//! In a ring of more than [`MAX_FLAT_RING`] nodes every [`FAN_OUT`]-th one is a relay for itself
-//! and the nodes up to the next, its leaves. The trees run over relays alone, so that a leaf
-//! exchanges with one node and only relays have links to other domains. A leaf that can't reach
-//! its relay acts in its stead for what it says itself.
+//! In a ring of more than [`MAX_FLAT_RING`] nodes every [`FAN_OUT`]-th one is the relay of itself
+//! and of the nodes up to the next relay, its leaves. The trees consist of relays only, so that a
+//! leaf exchanges with one node and only relays have links to other domains. A leaf that can't
+//! reach its relay forwards its own state in the relay's place.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use eelgrassmill_base::{FailureDomain, NodeId, stable_hash, value};
 use smallvec::SmallVec;
 
-/// Up to this many nodes, all exchange directly with each other.
-pub const MESH_LIMIT: usize = 12;
-/// Base of the trees: `FAN_OUT.pow(k)` relays of a domain are reached in `k` hops.
+/// Up to this many nodes form a full mesh.
+pub const MAX_MESH_NODES: usize = 12;
+/// Base of the trees: `k` hops reach `FAN_OUT.pow(k)` relays of a domain.
 pub const FAN_OUT: usize = 8;
-/// In a ring of up to this many nodes all of them relay.
+/// In a ring of up to this many nodes all of them are relays.
 pub(crate) const MAX_FLAT_RING: usize = FAN_OUT * FAN_OUT;
 
-/// Nodes to hand something to.
+/// Nodes to forward to.
 pub(crate) type Targets = SmallVec<[NodeId; 16]>;
 
 value! { copy
-    /// A node's place.
-    struct Place {
+    /// A node's position in the rings.
+    struct RingPosition {
         domain: usize,
-        position: usize,
+        index: usize,
     }
 }
 
 value! {
     /// The nodes of a failure domain.
     struct Ring {
-        /// Empty in a mesh, whose nodes stand in one ring.
+        /// Empty in a mesh, whose nodes form one ring.
         domain: FailureDomain,
         /// Invariant: not empty.
         nodes: Vec<NodeId>,
-        /// From one relay to the next; 1 where all nodes relay.
-        stride: usize,
+        /// Distance from one relay to the next; 1 if all nodes are relays.
+        relay_stride: usize,
     }
 
     /// The rings of all failure domains.
     pub struct Overlay {
-        /// Invariant: a node stands in one ring only.
+        /// Invariant: a node is in one ring only.
         rings: Vec<Ring>,
-        places: BTreeMap<NodeId, Place>,
+        positions: BTreeMap<NodeId, RingPosition>,
         fan_out: usize,
     }
 }
@@ -64,36 +63,36 @@
         Ring {
             domain: domain.into(),
             nodes,
-            stride: if is_flat { 1 } else { FAN_OUT },
+            relay_stride: if is_flat { 1 } else { FAN_OUT },
         }
     }
 
     fn relays(&self) -> usize {
-        self.nodes.len().div_ceil(self.stride)
+        self.nodes.len().div_ceil(self.relay_stride)
     }
 
-    /// The relay for the node at `position`, counted among relays.
-    fn relay_for(&self, position: usize) -> usize {
-        position / self.stride
+    /// The index among relays of the relay of the node at `index`.
+    fn relay_for(&self, index: usize) -> usize {
+        index / self.relay_stride
     }
 
     fn relay(&self, index: usize) -> &NodeId {
-        &self.nodes[index * self.stride]
+        &self.nodes[index * self.relay_stride]
     }
 
-    /// The nodes that a relay serves beside itself.
+    /// The nodes that a relay forwards to within its stride.
     fn leaves(&self, relay: usize) -> &[NodeId] {
-        let from = relay * self.stride;
-        let to = (from + self.stride).min(self.nodes.len());
+        let from = relay * self.relay_stride;
+        let to = (from + self.relay_stride).min(self.nodes.len());
         &self.nodes[from + 1..to]
     }
 }
 
 impl Overlay {
-    /// Lays out the rings for `nodes`; the order of `nodes` does not matter.
+    /// Builds the rings of `nodes`, whose order does not matter.
     pub fn new<'a>(nodes: impl IntoIterator<Item = (&'a NodeId, &'a FailureDomain)>) -> Overlay {
         let nodes: BTreeMap<&NodeId, &FailureDomain> = nodes.into_iter().collect();
-        let mesh = nodes.len() <= MESH_LIMIT;
+        let mesh = nodes.len() <= MAX_MESH_NODES;
         let mut by_domain: BTreeMap<&str, Vec<NodeId>> = BTreeMap::new();
         for (&node, &domain) in &nodes {
             let domain = if mesh { "" } else { domain.as_str() };
@@ -103,63 +102,66 @@
         let rings: Vec<Ring> = rings
             .map(|(domain, nodes)| Ring::new(domain, nodes))
             .collect();
-        let places = places(&rings);
-        let fan_out = if mesh { MESH_LIMIT } else { FAN_OUT };
+        let positions = ring_positions(&rings);
+        let fan_out = if mesh { MAX_MESH_NODES } else { FAN_OUT };
         Overlay {
             rings,
-            places,
+            positions,
             fan_out,
         }
     }
 
-    /// How many nodes there are.
+    /// The number of nodes.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Whether there is no node.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// Whether all nodes exchange directly with each other.
     pub fn is_mesh(&self) -> bool {
-        self.len() <= MESH_LIMIT
+        self.len() <= MAX_MESH_NODES
     }
 
-    /// All nodes, by domain and place in the ring.
+    /// All nodes, by domain and position in its ring.
     pub fn nodes(&self) -> impl Iterator<Item = &NodeId> {
         self.rings.iter().flat_map(|ring| &ring.nodes)
     }
 
     /// The nodes of the failure domain of `node`.
     pub(crate) fn ring_of(&self, node: &str) -> impl Iterator<Item = &NodeId> {
-        let place = self.places.get(node);
-        place.into_iter().flat_map(|p| &self.rings[p.domain].nodes)
+        let position = self.positions.get(node);
+        position
+            .into_iter()
+            .flat_map(|p| &self.rings[p.domain].nodes)
     }
 
-    /// Whether `node` is part of it.
+    /// Whether `node` is part of the overlay.
     pub fn contains(&self, node: &str) -> bool {
-        self.places.contains_key(node)
+        self.positions.contains_key(node)
     }
 
-    /// Whether a node of failure domain `domain` has its place already.
-    pub(crate) fn has_place(&self, node: &str, domain: &str) -> bool {
-        let place = self.places.get(node);
-        place.is_some_and(|place| self.is_mesh() || self.rings[place.domain].domain == domain)
+    /// Whether `node` already has a position that fits failure domain `domain`.
+    pub(crate) fn has_position(&self, node: &str, domain: &str) -> bool {
+        let position = self.positions.get(node);
+        position
+            .is_some_and(|position| self.is_mesh() || self.rings[position.domain].domain == domain)
     }
 
-    /// Whether `node` hands on what others say.
+    /// Whether `node` forwards the state of others.
     pub fn is_relay(&self, node: &str) -> bool {
-        let place = self.places.get(node);
-        place.is_some_and(|place| {
-            place
-                .position
-                .is_multiple_of(self.rings[place.domain].stride)
+        let position = self.positions.get(node);
+        position.is_some_and(|position| {
+            position
+                .index
+                .is_multiple_of(self.rings[position.domain].relay_stride)
         })
     }
 
-    /// Whom `me` hands the state of `origin` on to, leaving out `unreachable` ones.
+    /// The nodes to which `me` forwards the state of `origin`, with `unreachable` ones bypassed.
     pub fn children(
         &self,
         me: &NodeId,
@@ -167,12 +169,12 @@
         unreachable: &BTreeSet<NodeId>,
     ) -> Targets {
         let mut targets = Targets::new();
-        let Some(&mine) = self.places.get(me) else {
+        let Some(&own) = self.positions.get(me) else {
             return targets;
         };
-        let ring = &self.rings[mine.domain];
-        let my_relay = ring.relay_for(mine.position);
-        if !mine.position.is_multiple_of(ring.stride) {
+        let ring = &self.rings[own.domain];
+        let my_relay = ring.relay_for(own.index);
+        if !own.index.is_multiple_of(ring.relay_stride) {
             if me != origin {
                 return targets;
             }
@@ -182,33 +184,33 @@
                 return targets;
             }
         }
-        let root = self.root(origin, mine.domain);
+        let root = self.root(origin, own.domain);
         let offset = (my_relay + ring.relays() - root) % ring.relays();
-        self.serve(mine.domain, root, offset, unreachable, &mut targets);
-        let place = self.places.get(origin);
-        let relays_origin =
-            |o: &Place| o.domain == mine.domain && ring.relay_for(o.position) == my_relay;
-        if place.is_some_and(relays_origin) {
-            self.partners(origin, mine.domain, unreachable, &mut targets);
+        self.add_children(own.domain, root, offset, unreachable, &mut targets);
+        let position = self.positions.get(origin);
+        let is_relay_of_origin =
+            |o: &RingPosition| o.domain == own.domain && ring.relay_for(o.index) == my_relay;
+        if position.is_some_and(is_relay_of_origin) {
+            self.add_partners(origin, own.domain, unreachable, &mut targets);
         }
         targets.retain(|node| node != origin && node != me);
         targets
     }
 
-    /// The relay at which the tree of `origin` is rooted in `domain`.
+    /// The index of the relay that is the root of the tree of `origin` in `domain`.
     fn root(&self, origin: &NodeId, domain: usize) -> usize {
         let ring = &self.rings[domain];
         let size = ring.nodes.len();
-        let position = match self.places.get(origin) {
-            Some(place) => place.position % size,
+        let index = match self.positions.get(origin) {
+            Some(position) => position.index % size,
             None => (stable_hash([origin.as_str()]) % size as u64) as usize,
         };
-        ring.relay_for(position)
+        ring.relay_for(index)
     }
 
-    /// Adds whom the relay at `offset` from `root` hands on to: its leaves and its children in the
-    /// tree, and for each child that can't be reached those of the child.
-    fn serve(
+    /// Adds the nodes to which the relay at `offset` from `root` forwards: its leaves and its
+    /// children in the tree, and in place of each unreachable child that child's own ones.
+    fn add_children(
         &self,
         domain: usize,
         root: usize,
@@ -228,7 +230,7 @@
                 }
                 let node = ring.relay((root + child) % relays);
                 if unreachable.contains(node) {
-                    self.serve(domain, root, child, unreachable, targets);
+                    self.add_children(domain, root, child, unreachable, targets);
                 } else {
                     targets.push(node.clone());
                 }
@@ -237,8 +239,8 @@
         }
     }
 
-    /// Adds the partner of `origin` in each domain but its own.
-    fn partners(
+    /// Adds the partner of `origin` in each domain other than `own`.
+    fn add_partners(
         &self,
         origin: &NodeId,
         own: usize,
@@ -249,7 +251,7 @@
             let root = self.root(origin, domain);
             let partner = self.rings[domain].relay(root);
             if unreachable.contains(partner) {
-                self.serve(domain, root, 0, unreachable, targets);
+                self.add_children(domain, root, 0, unreachable, targets);
             } else {
                 targets.push(partner.clone());
             }
@@ -257,12 +259,12 @@
     }
 }
 
-fn places(rings: &[Ring]) -> BTreeMap<NodeId, Place> {
-    let mut places = BTreeMap::new();
+fn ring_positions(rings: &[Ring]) -> BTreeMap<NodeId, RingPosition> {
+    let mut positions = BTreeMap::new();
     for (domain, ring) in rings.iter().enumerate() {
-        for (position, node) in ring.nodes.iter().enumerate() {
-            places.insert(node.clone(), Place { domain, position });
+        for (index, node) in ring.nodes.iter().enumerate() {
+            positions.insert(node.clone(), RingPosition { domain, index });
         }
     }
-    places
+    positions
 }
--- a/crates/peer/tests/scale.rs
+++ b/crates/peer/tests/scale.rs
@@ -229,7 +229,7 @@
         net.greet(&member.id, "node-0");
     }
     net.run(Duration::from_secs(3));
-    let before = net.node("node-0").layouts();
+    let before = net.node("node-0").overlay_rebuilds();
     for member in &list {
         let mut leaving = status(member);
         if let Item::Status(status) = &mut leaving {
@@ -238,7 +238,7 @@
         net.publish(&member.id, leaving);
     }
     net.run(Duration::from_secs(3));
-    expect_that!(net.node("node-0").layouts(), eq(before));
+    expect_that!(net.node("node-0").overlay_rebuilds(), eq(before));
 }
 
 #[gtest]
--- a/crates/peer/tests/support/net.rs
+++ b/crates/peer/tests/support/net.rs
@@ -260,7 +260,7 @@
             return;
         };
         match parcel {
-            Parcel::Failure => node.failed(&from, now),
+            Parcel::Failure => node.on_call_failed(&from, now),
             Parcel::Answer(bytes) => {
                 let began = Instant::now();
                 let updates = node.receive(&from, decoded(&bytes), now);
