--- a/crates/peer/src/blocked_peers.rs
+++ b/crates/peer/src/blocked_peers.rs
@@ -5,9 +5,9 @@
 
 use eelgrassmill_base::NodeId;
 
-/// A list of nodes that a node neither calls nor answers; changed at run time.
+/// The nodes that a node neither calls nor answers; can be changed at run time.
 ///
-/// Nothing in the product fills it: it is for tests.
+/// Only tests set it.
 #[derive(Clone, Debug, Default)]
 pub struct BlockedPeers {
     nodes: Arc<RwLock<BTreeSet<NodeId>>>,
@@ -20,7 +20,7 @@
         *blocked = nodes.into_iter().collect();
     }
 
-    /// Whether `node` is on the list.
+    /// Whether `node` is blocked.
     pub fn contains(&self, node: &str) -> bool {
         let blocked = self.nodes.read().unwrap_or_else(PoisonError::into_inner);
         blocked.contains(node)
--- a/crates/peer/src/config_text.rs
+++ b/crates/peer/src/config_text.rs
@@ -1,4 +1,4 @@
-//! A configuration's text, whole or as a difference.
+//! Transfer of a configuration's text, in full or as a difference.
 
 use eelgrassmill_base::{ConfigVersion, SubmitId, value};
 use sha2::{Digest, Sha256};
@@ -8,7 +8,7 @@
 use crate::wire::messages::{Body, FetchConfigReply, TextDifference};
 
 value! {
-    /// One accepted text.
+    /// An accepted configuration text.
     pub struct ConfigText {
         /// Its version.
         pub version: ConfigVersion,
@@ -24,25 +24,25 @@
 }
 
 impl ConfigText {
-    /// Whether the text is the one that the checksum was made of.
+    /// Whether the text matches the checksum.
     pub fn is_intact(&self) -> bool {
         checksum(&self.text) == self.checksum
     }
 }
 
-/// SHA-256 of `text` in hexadecimal digits, as [`ConfigText::checksum`] has it.
+/// SHA-256 of `text` in hexadecimal digits, the format of [`ConfigText::checksum`].
 pub fn checksum(text: &str) -> SmolStr {
     let digest = Sha256::digest(text.as_bytes());
     let digits: String = digest.iter().map(|byte| format!("{byte:02x}")).collect();
     digits.into()
 }
 
-/// The answer for a node that has `base`.
-pub(crate) fn reply(current: ConfigText, base: Option<&ConfigText>) -> FetchConfigReply {
+/// Builds the reply to a node that has `base`.
+pub(crate) fn fetch_reply(current: ConfigText, base: Option<&ConfigText>) -> FetchConfigReply {
     let body = match base {
         Some(base) if base.checksum == current.checksum => Body::Unchanged(true),
         Some(base) => Body::Difference(difference(&base.text, &current.text)),
-        None => Body::Whole(current.text),
+        None => Body::Full(current.text),
     };
     FetchConfigReply {
         version: current.version,
@@ -53,11 +53,11 @@
     }
 }
 
-/// The text that an answer stands for, given the one that was asked with.
+/// Restores the text from a reply and the base that the request named.
 ///
 /// # Errors
-/// [`PeerError::Checksum`] when the result is not what the answering node has, so
-/// that a wrong base or a damaged text is never put in force.
+/// [`PeerError::Checksum`] if the result differs from the replying node's text, so
+/// that a wrong base or a corrupt text is never applied.
 pub(crate) fn restore(
     reply: FetchConfigReply,
     base: Option<&ConfigText>,
@@ -67,10 +67,10 @@
     }
     let base = base.map(|base| base.text.as_str()).unwrap_or_default();
     let text = match reply.body {
-        Some(Body::Whole(text)) => text,
+        Some(Body::Full(text)) => text,
         Some(Body::Unchanged(_)) => base.to_string(),
         Some(Body::Difference(difference)) => {
-            patch(base, &difference).ok_or(PeerError::Checksum)?
+            apply_difference(base, &difference).ok_or(PeerError::Checksum)?
         }
         None => return Err(PeerError::Checksum),
     };
@@ -87,11 +87,11 @@
     Ok(restored)
 }
 
-/// `new` as a change of `old`: all that lies between what they share at both ends.
+/// The difference of `new` from `old`: the part between their common prefix and suffix.
 fn difference(old: &str, new: &str) -> TextDifference {
-    let head = shared(old.chars(), new.chars());
+    let head = common_prefix_bytes(old.chars(), new.chars());
     let (old_rest, new_rest) = (&old[head..], &new[head..]);
-    let tail = shared(old_rest.chars().rev(), new_rest.chars().rev());
+    let tail = common_prefix_bytes(old_rest.chars().rev(), new_rest.chars().rev());
     TextDifference {
         keep_head: head as u64,
         keep_tail: tail as u64,
@@ -99,15 +99,15 @@
     }
 }
 
-/// Bytes of the characters that both sequences begin with.
-fn shared(a: impl Iterator<Item = char>, b: impl Iterator<Item = char>) -> usize {
+/// Length in bytes of the common prefix of two character sequences.
+fn common_prefix_bytes(a: impl Iterator<Item = char>, b: impl Iterator<Item = char>) -> usize {
     a.zip(b)
         .take_while(|(a, b)| a == b)
         .map(|(a, _)| a.len_utf8())
         .sum()
 }
 
-fn patch(old: &str, difference: &TextDifference) -> Option<String> {
+fn apply_difference(old: &str, difference: &TextDifference) -> Option<String> {
     let head = usize::try_from(difference.keep_head).ok()?;
     let tail = usize::try_from(difference.keep_tail).ok()?;
     let tail_start = old.len().checked_sub(tail).filter(|&start| start >= head)?;
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -4,35 +4,35 @@
 
 use eelgrassmill_base::NodeId;
 
-/// Why a call between nodes gave no result.
+/// Error of a call to another node, or of starting to listen.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// The node's own address can't be listened on.
-    #[error("cannot listen for other nodes: {0}")]
+    /// Listening on the node's own address failed.
+    #[error("cannot listen for peers: {0}")]
     Listen(#[source] io::Error),
-    /// Nothing says where the node takes calls.
-    #[error("the address of node {0} is not known")]
+    /// No address of the node is known.
+    #[error("no known address of node {0}")]
     NoAddress(NodeId),
     /// An address is not a numeric `IP:PORT`.
     #[error("not a numeric IP:PORT: {0}")]
-    BadAddress(String),
-    /// The node did not answer in time.
-    #[error("no answer in time")]
+    InvalidAddress(String),
+    /// The call timed out.
+    #[error("call timed out")]
     Timeout,
     /// The node can't be reached.
-    #[error("cannot be reached: {0}")]
+    #[error("node unreachable: {0}")]
     Unreachable(String),
-    /// The node answered with an error.
-    #[error("refused: {0}")]
-    Refused(String),
-    /// Calls to the node are switched off.
-    #[error("calls to node {0} are refused by setting")]
+    /// The node rejected the call.
+    #[error("call rejected: {0}")]
+    Rejected(String),
+    /// The node is on the list of blocked peers.
+    #[error("node {0} is blocked")]
     Blocked(NodeId),
     /// The node has no configuration.
-    #[error("the node has no configuration")]
+    #[error("node has no configuration")]
     NoConfig,
-    /// A text does not match its checksum.
-    #[error("the text does not match its checksum")]
+    /// A configuration text doesn't match its checksum.
+    #[error("configuration text does not match its checksum")]
     Checksum,
 }
 
@@ -49,7 +49,7 @@
                 PeerError::Unreachable(status.message().to_string())
             }
             tonic::Code::DeadlineExceeded | tonic::Code::Cancelled => PeerError::Timeout,
-            _ => PeerError::Refused(status.message().to_string()),
+            _ => PeerError::Rejected(status.message().to_string()),
         }
     }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,10 +1,9 @@
-//! The protocol between nodes: membership, dissemination, quotas and events, over tonic.
+//! The protocol between nodes: membership, dissemination, quotas and events, over gRPC.
 //!
-//! [`Dissemination`] is the pure state machine: what is known of whom, and who is
-//! told what next. [`PeerNode`] gives it a clock, a server and connections.
+//! [`Dissemination`] is the pure state machine: the state held of each node, and what
+//! to send next. [`PeerNode`] adds the clock, the server and the connections.
 
 mod blocked_peers;
-mod calls;
 pub mod capacity;
 mod config_text;
 mod delay;
@@ -14,6 +13,7 @@
 mod meter;
 mod node;
 mod overlay;
+mod service;
 mod wire;
 
 pub use crate::blocked_peers::BlockedPeers;
--- a/crates/peer/src/meter.rs
+++ b/crates/peer/src/meter.rs
@@ -1,4 +1,4 @@
-//! Connections that are counted, in number and in bytes.
+//! Counts connections, calls and bytes.
 
 use std::future::Future;
 use std::io;
@@ -17,7 +17,7 @@
 use tonic::transport::server::{Connected, TcpConnectInfo};
 
 value! { copy
-    /// Bytes that went over a node's connections to other nodes, without TCP's own.
+    /// Traffic over a node's connections to other nodes, without TCP overhead.
     pub struct Traffic {
         /// Bytes sent.
         pub sent_bytes: u64,
@@ -41,7 +41,7 @@
     connections: AtomicU64,
 }
 
-/// Counts for one node.
+/// Traffic counters of one node.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Meter {
     counters: Arc<Counters>,
@@ -58,32 +58,36 @@
         }
     }
 
-    pub(crate) fn called(&self, well: bool) {
+    pub(crate) fn record_call(&self, succeeded: bool) {
         self.counters.calls.fetch_add(1, Ordering::Relaxed);
-        if !well {
+        if !succeeded {
             self.counters.failed_calls.fetch_add(1, Ordering::Relaxed);
         }
     }
 }
 
-/// A connection whose bytes are counted, and which holds its place among the accepted ones.
-pub(crate) struct Metered {
+/// A TCP stream that counts its bytes and, if inbound, holds its permit.
+pub(crate) struct MeteredStream {
     io: TcpStream,
     meter: Meter,
-    _place: Option<OwnedSemaphorePermit>,
+    _permit: Option<OwnedSemaphorePermit>,
 }
 
-impl Metered {
-    pub(crate) fn new(io: TcpStream, meter: Meter, place: Option<OwnedSemaphorePermit>) -> Metered {
-        Metered {
+impl MeteredStream {
+    pub(crate) fn new(
+        io: TcpStream,
+        meter: Meter,
+        permit: Option<OwnedSemaphorePermit>,
+    ) -> MeteredStream {
+        MeteredStream {
             io,
             meter,
-            _place: place,
+            _permit: permit,
         }
     }
 }
 
-impl Connected for Metered {
+impl Connected for MeteredStream {
     type ConnectInfo = TcpConnectInfo;
 
     fn connect_info(&self) -> TcpConnectInfo {
@@ -91,7 +95,7 @@
     }
 }
 
-impl AsyncRead for Metered {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -106,7 +110,7 @@
     }
 }
 
-impl AsyncWrite for Metered {
+impl AsyncWrite for MeteredStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -129,7 +133,7 @@
     }
 }
 
-/// Dials `IP:PORT` and counts what goes over the connection.
+/// Connects to `IP:PORT` with a metered stream.
 #[derive(Clone)]
 pub(crate) struct Connector {
     meter: Meter,
@@ -142,7 +146,7 @@
 }
 
 impl Service<http::Uri> for Connector {
-    type Response = TokioIo<Metered>;
+    type Response = TokioIo<MeteredStream>;
     type Error = io::Error;
     type Future = Pin<Box<dyn Future<Output = io::Result<Self::Response>> + Send>>;
 
@@ -154,15 +158,15 @@
         let meter = self.meter.clone();
         meter.counters.connections.fetch_add(1, Ordering::Relaxed);
         Box::pin(async move {
-            let stream = TcpStream::connect(numeric(&uri)?).await?;
+            let stream = TcpStream::connect(parse_authority(&uri)?).await?;
             stream.set_nodelay(true)?;
-            Ok(TokioIo::new(Metered::new(stream, meter, None)))
+            Ok(TokioIo::new(MeteredStream::new(stream, meter, None)))
         })
     }
 }
 
-/// The address in `uri`, which must be numeric: nodes ask no name service.
-fn numeric(uri: &http::Uri) -> io::Result<SocketAddr> {
+/// The address in `uri`, which must be numeric: nodes don't use DNS.
+fn parse_authority(uri: &http::Uri) -> io::Result<SocketAddr> {
     uri.authority()
         .and_then(|authority| authority.as_str().parse().ok())
         .ok_or_else(|| io::Error::new(io::ErrorKind::InvalidInput, "not a numeric IP:PORT"))
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -1,4 +1,4 @@
-//! The thin side that does the I/O: a server, the tick loop and the calls.
+//! The I/O around the dissemination state: the server, the flush loop and the client calls.
 
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -17,7 +17,7 @@
 use crate::dissemination::{Dissemination, DisseminationConfig, Member};
 use crate::error::PeerError;
 use crate::item::{Item, ItemKey, Update};
-use crate::meter::{Meter, Metered, Traffic};
+use crate::meter::{Meter, MeteredStream, Traffic};
 use crate::wire::client::Pool;
 use crate::wire::messages::{
     Batch, FetchConfigReply, FetchConfigRequest, ListReply, ListRequest, QuotaReply, QuotaRequest,
@@ -26,104 +26,105 @@
 use crate::wire::path;
 use crate::wire::server::PeerServer;
 
-/// Most connections that a node accepts from others.
-const MAX_ACCEPTED: usize = 512;
-/// Most calls that one connection has under way. Beside short calls these are requests of one node that wait for places, for 1.4 s at most.
-const MAX_STREAMS: u32 = 256;
-/// Most batches to one node that are under way.
-const MAX_UNDER_WAY: usize = 4;
-/// Most batches whose updates wait for the handler.
-const MAX_UNHANDLED: usize = 1024;
-/// A node that knows no other greets the seeds this often: of nodes that start together the
-/// seeds may be the last.
-const GREET_INTERVAL: Duration = Duration::from_millis(200);
-/// How long one of the first greetings waits for its answer. A seed that has no power shows only
-/// as silence, and its connection must be dialled anew once it is up.
-const GREET_TIMEOUT: Duration = Duration::from_millis(300);
-/// Greetings after which seeds are taken for slow, and given the longest transit.
-const FAST_GREETINGS: u32 = 6;
-/// A connection over which nothing comes back for this long is closed.
-const KEEP_ALIVE: Duration = Duration::from_secs(10);
-
-/// What a node does with what it learns, and answers when it is asked.
+/// Maximum number of connections accepted from other nodes.
+const MAX_INBOUND_CONNECTIONS: usize = 512;
+/// Maximum number of concurrent calls per connection. Besides short calls these are slot requests
+/// of one node, which wait for up to 1.4 s.
+const MAX_STREAMS_PER_CONNECTION: u32 = 256;
+/// Maximum number of batches in flight to one node.
+const MAX_IN_FLIGHT_BATCHES: usize = 4;
+/// Maximum number of batches whose updates are queued for the handler.
+const MAX_QUEUED_UPDATES: usize = 1024;
+/// How often a node that knows no other sends a hello to the seeds: of nodes that start
+/// together the seeds may be the last.
+const HELLO_INTERVAL: Duration = Duration::from_millis(200);
+/// Timeout of the first hellos. A seed that is powered off doesn't refuse the connection, which
+/// must be opened again once the seed is up.
+const FAST_HELLO_TIMEOUT: Duration = Duration::from_millis(300);
+/// Number of hellos after which the seeds are considered slow and the call timeout applies.
+const FAST_HELLOS: u32 = 6;
+/// Interval and timeout of HTTP/2 keep-alive pings to other nodes.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(10);
+
+/// Handles received updates and the calls of other nodes.
 ///
-/// No method but [`PeerHandler::list`] and [`PeerHandler::schedule`] may wait.
+/// Only [`PeerHandler::list`] and [`PeerHandler::schedule`] may wait.
 pub trait PeerHandler: Send + Sync + 'static {
-    /// Takes what this node learned, in the order in which it did.
+    /// Handles updates in the order in which they were received.
     fn on_updates(&self, updates: Vec<Update>);
 
-    /// The configuration in force here, where this node has one to tell.
+    /// The active configuration, if any.
     fn config(&self) -> Option<ConfigText> {
         None
     }
 
-    /// A former configuration, when it is still at hand, so that a difference can be made.
+    /// The configuration of a given version if it is still available, as the base of a difference.
     fn config_at_version(&self, _version: u64) -> Option<ConfigText> {
         None
     }
 
-    /// The events that `query` selects, where this node keeps any.
+    /// The events that match `query`; none by default.
     fn timeline(&self, _query: &[u8]) -> Vec<u8> {
         Vec::new()
     }
 
-    /// The slots that an entry is granted, where this node grants any.
+    /// The slots granted to an entry host; none by default.
     fn quota(&self, _req: QuotaRequest) -> QuotaReply {
         QuotaReply::default()
     }
 
-    /// The changes of a list that the platform keeps, once there are any or the asker's time
-    /// to wait is over, where this node knows any.
+    /// The changes of a list kept by the platform, once there are any or the caller's wait time
+    /// is over; none by default.
     fn list(&self, _req: ListRequest) -> impl Future<Output = ListReply> + Send {
         std::future::ready(ListReply::default())
     }
 
-    /// Takes notices of a model's requests and finds a place for one, where this node places
-    /// any.
+    /// Handles slot events and a slot request as the scheduler of a model; no scheduler by
+    /// default.
     fn schedule(&self, _req: ScheduleRequest) -> impl Future<Output = ScheduleReply> + Send {
         std::future::ready(ScheduleReply::default())
     }
 
-    /// The stamp that a batch carries, so that events of two nodes can be put in causal order.
+    /// The timestamp to send with a batch, so that events of two nodes can be ordered causally.
     fn timestamp(&self) -> HlcTimestamp {
         HlcTimestamp::default()
     }
 
-    /// Takes notice of the stamp of another node's batch.
+    /// Handles the timestamp of another node's batch.
     fn on_timestamp(&self, _timestamp: HlcTimestamp) {}
 }
 
 value! { copy
-    /// A stamp of a hybrid logical clock; the timeline crate gives it its meaning.
+    /// A timestamp of the hybrid logical clock in the timeline crate.
     #[derive(Default)]
     pub struct HlcTimestamp {
         /// Milliseconds since 1970.
         pub wall_ms: u64,
-        /// Counts stamps within one millisecond.
+        /// Counter within one millisecond.
         pub counter: u32,
     }
 }
 
 value! {
-    /// How a node takes part.
+    /// Configuration of a [`PeerNode`].
     pub struct PeerNodeConfig {
-        /// Who it is. `me.address` is replaced by the address that it listens on.
+        /// Its identity and timing. `me.address` is replaced by the address that it listens on.
         pub dissemination: DisseminationConfig,
-        /// Where it listens; port 0 for a free one.
+        /// Address to listen on; port 0 for a free one.
         pub listen: SocketAddr,
-        /// Nodes that are asked when no other is known.
+        /// Nodes to contact while no other is known.
         pub seeds: Vec<SocketAddr>,
     }
 }
 
-/// A node's part in the protocol.
+/// A running node of the peer protocol.
 pub struct PeerNode<H> {
     inner: Arc<Inner<H>>,
-    local: SocketAddr,
+    local_address: SocketAddr,
     stop: watch::Sender<bool>,
 }
 
-/// What the server, the tick loop and the calls share.
+/// State shared by the server, the flush loop and the client calls.
 pub(crate) struct Inner<H> {
     pub(crate) me: NodeId,
     state: Mutex<Dissemination>,
@@ -132,19 +133,19 @@
     pool: Pool,
     meter: Meter,
     seeds: Vec<SocketAddr>,
-    flush: Duration,
+    flush_interval: Duration,
     call_timeout: Duration,
-    /// Updates on their way to the handler. A place is reserved before the state is
-    /// changed, so that the order is kept and nothing is lost when it lags behind.
-    unhandled: mpsc::Sender<Vec<Update>>,
-    under_way: Mutex<BTreeMap<NodeId, usize>>,
+    /// Updates queued for the handler. Capacity is reserved before the state changes, which
+    /// keeps the order and loses no update if the handler lags.
+    update_queue: mpsc::Sender<Vec<Update>>,
+    in_flight: Mutex<BTreeMap<NodeId, usize>>,
 }
 
 impl<H: PeerHandler> PeerNode<H> {
-    /// Listens, and runs the server and the tick loop on `runtime` until [`PeerNode::stop`].
+    /// Listens, and runs the server and the flush loop on `runtime` until [`PeerNode::stop`].
     ///
     /// # Errors
-    /// When `cfg.listen` can't be listened on.
+    /// If `cfg.listen` can't be listened on.
     pub fn start(
         cfg: PeerNodeConfig,
         handler: Arc<H>,
@@ -155,11 +156,11 @@
         PeerNode::start_on(listener, cfg, handler, blocked_peers, runtime)
     }
 
-    /// The same on a port that is listened on already, whose number others may have
-    /// been told; `cfg.listen` is left alone.
+    /// Like [`PeerNode::start`], but on an open listener, whose port others may already know;
+    /// `cfg.listen` is ignored.
     ///
     /// # Errors
-    /// When the listener can't be used.
+    /// If the listener can't be used.
     pub fn start_on(
         listener: std::net::TcpListener,
         mut cfg: PeerNodeConfig,
@@ -168,10 +169,10 @@
         runtime: &Handle,
     ) -> Result<PeerNode<H>, PeerError> {
         listener.set_nonblocking(true).map_err(PeerError::Listen)?;
-        let local = listener.local_addr().map_err(PeerError::Listen)?;
-        cfg.dissemination.me.address = local.to_string().into();
-        let (unhandled, waiting) = mpsc::channel(MAX_UNHANDLED);
-        let inner = Arc::new(Inner::new(cfg, handler, blocked_peers, unhandled));
+        let local_address = listener.local_addr().map_err(PeerError::Listen)?;
+        cfg.dissemination.me.address = local_address.to_string().into();
+        let (update_queue, queued) = mpsc::channel(MAX_QUEUED_UPDATES);
+        let inner = Arc::new(Inner::new(cfg, handler, blocked_peers, update_queue));
         let (stop, stopped) = watch::channel(false);
         {
             let _guard = runtime.enter();
@@ -179,17 +180,21 @@
                 tokio::net::TcpListener::from_std(listener).map_err(PeerError::Listen)?;
             runtime.spawn(serve(Arc::clone(&inner), listener, stopped.clone()));
         }
-        runtime.spawn(deliver(Arc::clone(&inner.handler), waiting));
-        runtime.spawn(run(Arc::clone(&inner), stopped));
-        Ok(PeerNode { inner, local, stop })
+        runtime.spawn(deliver_updates(Arc::clone(&inner.handler), queued));
+        runtime.spawn(run_flush_loop(Arc::clone(&inner), stopped));
+        Ok(PeerNode {
+            inner,
+            local_address,
+            stop,
+        })
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn local_address(&self) -> SocketAddr {
-        self.local
+        self.local_address
     }
 
-    /// Reads the state, or publishes and changes members. Must be quick.
+    /// Runs `use_state` with the state locked; it must not block.
     pub fn with_state<T>(&self, use_state: impl FnOnce(&mut Dissemination) -> T) -> T {
         use_state(&mut self.inner.state())
     }
@@ -199,7 +204,7 @@
         self.inner.state().publish(item, Instant::now());
     }
 
-    /// Publishes an item that every node drops after `ttl`.
+    /// Publishes an item that expires at every node after `ttl`.
     pub fn publish_with_ttl(&self, item: Item, ttl: Duration) {
         self.inner
             .state()
@@ -211,20 +216,20 @@
         self.inner.state().withdraw(key, Instant::now());
     }
 
-    /// Says that everything published by this node still held at `as_of`.
+    /// Confirms that everything published by this node was still valid at `as_of`.
     pub fn confirm(&self, as_of: Instant) {
         self.inner.state().confirm(as_of);
     }
 
-    /// Takes the list of members as read from the table.
+    /// Sets the list of members as read from the table.
     pub fn set_members(&self, members: impl IntoIterator<Item = Member>) {
         self.inner.state().set_members(members, Instant::now());
     }
 
-    /// The events of `node` that `query` selects.
+    /// Fetches the events of `node` that match `query`.
     ///
     /// # Errors
-    /// When the node can't be reached, is too slow or refuses.
+    /// If the node can't be reached, times out or rejects the call.
     pub async fn fetch_timeline(
         &self,
         node: &NodeId,
@@ -237,10 +242,10 @@
         Ok(reply.events)
     }
 
-    /// The slots that the watcher `node` grants.
+    /// Requests slots from the watcher `node`.
     ///
     /// # Errors
-    /// When the node can't be reached, is too slow or refuses.
+    /// If the node can't be reached, times out or rejects the call.
     pub async fn request_quota(
         &self,
         node: &NodeId,
@@ -250,10 +255,11 @@
         self.inner.call(node, path::QUOTA, req, timeout).await
     }
 
-    /// The changes of `list` after `since` as `node` knows them, waited for as long as `wait`.
+    /// Fetches the changes of `list` after version `since` from `node`, which waits up to `wait`
+    /// for one.
     ///
     /// # Errors
-    /// When the node can't be reached, is too slow or refuses.
+    /// If the node can't be reached, times out or rejects the call.
     pub async fn fetch_list(
         &self,
         node: &NodeId,
@@ -271,10 +277,10 @@
         self.inner.call(node, path::LIST, req, wait + timeout).await
     }
 
-    /// Tells `node`, which places a model's requests, and asks it for a place.
+    /// Sends slot events to the scheduler at `node` and may request a slot.
     ///
     /// # Errors
-    /// When the node can't be reached, is too slow or refuses.
+    /// If the node can't be reached, times out or rejects the call.
     pub async fn call_scheduler(
         &self,
         node: &NodeId,
@@ -284,11 +290,11 @@
         self.inner.call(node, path::SCHEDULE, req, timeout).await
     }
 
-    /// The configuration in force at `node`, as a difference from `base` where that
-    /// node still has it.
+    /// Fetches the active configuration of `node`, as a difference from `base` if that node
+    /// still has it.
     ///
     /// # Errors
-    /// When the node can't be reached, has none, or its text does not match its checksum.
+    /// If the node can't be reached, has none, or the text doesn't match its checksum.
     pub async fn fetch_config(
         &self,
         node: &NodeId,
@@ -297,7 +303,7 @@
     ) -> Result<ConfigText, PeerError> {
         let restored = self.fetch_config_once(node, base, timeout).await;
         match restored {
-            // The node's idea of our version is not ours; the whole text settles it.
+            // The two nodes have different texts for the base version: fetch the full text.
             Err(PeerError::Checksum) if base.is_some() => {
                 self.fetch_config_once(node, None, timeout).await
             }
@@ -321,12 +327,12 @@
         restore(reply, base)
     }
 
-    /// What went over the connections to other nodes so far.
+    /// The traffic over the connections to other nodes so far.
     pub fn traffic(&self) -> Traffic {
         self.inner.meter.traffic()
     }
 
-    /// Stops listening and ticking. Calls under way end.
+    /// Stops listening and flushing. Calls in flight complete.
     pub fn stop(&self) {
         self.stop.send_replace(true);
     }
@@ -343,7 +349,7 @@
         cfg: PeerNodeConfig,
         handler: Arc<H>,
         blocked_peers: BlockedPeers,
-        unhandled: mpsc::Sender<Vec<Update>>,
+        update_queue: mpsc::Sender<Vec<Update>>,
     ) -> Inner<H> {
         let meter = Meter::default();
         let timing = &cfg.dissemination.timing;
@@ -354,10 +360,10 @@
             pool: Pool::new(timing.call_timeout, meter.clone()),
             meter,
             seeds: cfg.seeds,
-            flush: timing.flush_interval,
+            flush_interval: timing.flush_interval,
             call_timeout: timing.call_timeout,
-            unhandled,
-            under_way: Mutex::new(BTreeMap::new()),
+            update_queue,
+            in_flight: Mutex::new(BTreeMap::new()),
             state: Mutex::new(Dissemination::new(cfg.dissemination, Instant::now())),
         }
     }
@@ -366,22 +372,22 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes in a batch; gives what is owed to its sender, or `None` when the
-    /// handler lags so far behind that the batch must come again.
+    /// Applies a batch and returns the reply, or `None` if the update queue is full and the
+    /// sender must retry.
     pub(crate) fn receive(&self, from: &NodeId, batch: Batch) -> Option<Batch> {
-        self.observe(&batch);
-        let place = self.unhandled.try_reserve().ok()?;
+        self.observe_timestamp(&batch);
+        let permit = self.update_queue.try_reserve().ok()?;
         let mut state = self.state();
         let now = Instant::now();
         let updates = state.receive(from, batch, now);
-        let mut answer = state.answer(from, now);
-        place.send(updates);
+        let mut reply = state.answer(from, now);
+        permit.send(updates);
         drop(state);
-        self.set_timestamp(&mut answer);
-        Some(answer)
+        self.set_timestamp(&mut reply);
+        Some(reply)
     }
 
-    fn observe(&self, batch: &Batch) {
+    fn observe_timestamp(&self, batch: &Batch) {
         self.handler.on_timestamp(HlcTimestamp {
             wall_ms: batch.hlc_wall_ms,
             counter: batch.hlc_counter,
@@ -394,15 +400,15 @@
         batch.hlc_counter = timestamp.counter;
     }
 
-    /// Takes in the answer to a batch of ours; what it asks for goes with the next flush.
-    fn receive_answer(&self, from: &NodeId, batch: Batch) {
-        self.observe(&batch);
-        let Ok(place) = self.unhandled.try_reserve() else {
+    /// Applies the reply to a batch; what it requests is sent with the next flush.
+    fn receive_reply(&self, from: &NodeId, batch: Batch) {
+        self.observe_timestamp(&batch);
+        let Ok(permit) = self.update_queue.try_reserve() else {
             return;
         };
         let mut state = self.state();
         let updates = state.receive(from, batch, Instant::now());
-        place.send(updates);
+        permit.send(updates);
     }
 
     fn address(&self, node: &NodeId) -> Result<SocketAddr, PeerError> {
@@ -410,7 +416,7 @@
         let address = known.ok_or_else(|| PeerError::NoAddress(node.clone()))?;
         address
             .parse()
-            .map_err(|_| PeerError::BadAddress(address.to_string()))
+            .map_err(|_| PeerError::InvalidAddress(address.to_string()))
     }
 
     async fn call<Req, Res>(
@@ -429,31 +435,31 @@
         }
         let address = self.address(node)?;
         let result = self.pool.call(address, path, req, timeout).await;
-        self.meter.called(result.is_ok());
+        self.meter.record_call(result.is_ok());
         result
     }
 
-    /// Whether one more batch to `node` may be under way.
-    fn enter(&self, node: &NodeId) -> bool {
-        let mut under_way = self.under_way();
-        let count = under_way.entry(node.clone()).or_default();
-        let free = *count < MAX_UNDER_WAY;
-        *count += usize::from(free);
-        free
+    /// Counts one more batch in flight to `node`; `false` if there are too many.
+    fn try_begin_batch(&self, node: &NodeId) -> bool {
+        let mut in_flight = self.in_flight();
+        let count = in_flight.entry(node.clone()).or_default();
+        let is_allowed = *count < MAX_IN_FLIGHT_BATCHES;
+        *count += usize::from(is_allowed);
+        is_allowed
     }
 
-    fn leave(&self, node: &NodeId) {
-        let mut under_way = self.under_way();
-        if let Some(count) = under_way.get_mut(node) {
+    fn end_batch(&self, node: &NodeId) {
+        let mut in_flight = self.in_flight();
+        if let Some(count) = in_flight.get_mut(node) {
             *count -= 1;
             if *count == 0 {
-                under_way.remove(node);
+                in_flight.remove(node);
             }
         }
     }
 
-    fn under_way(&self) -> MutexGuard<'_, BTreeMap<NodeId, usize>> {
-        self.under_way
+    fn in_flight(&self) -> MutexGuard<'_, BTreeMap<NodeId, usize>> {
+        self.in_flight
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
     }
@@ -463,109 +469,109 @@
         let result: Result<Batch, PeerError> = self
             .call(&node, path::EXCHANGE, batch, self.call_timeout)
             .await;
-        self.leave(&node);
+        self.end_batch(&node);
         match result {
-            Ok(answer) => self.receive_answer(&node, answer),
+            Ok(reply) => self.receive_reply(&node, reply),
             Err(_) => self.state().on_call_failed(&node, Instant::now()),
         }
     }
 
-    async fn greet(&self, seed: SocketAddr, hello: Batch, timeout: Duration) {
+    async fn send_hello(&self, seed: SocketAddr, hello: Batch, timeout: Duration) {
         let result: Result<Batch, PeerError> =
             self.pool.call(seed, path::EXCHANGE, hello, timeout).await;
         if matches!(result, Err(PeerError::Timeout)) {
-            // The packet that opens it is sent again only after a second.
-            self.pool.drop_channel(seed);
+            // TCP retransmits a lost SYN only after a second.
+            self.pool.drop_connection(seed);
         }
-        self.meter.called(result.is_ok());
-        if let Ok(answer) = result {
-            let from = NodeId::from(answer.from.as_str());
+        self.meter.record_call(result.is_ok());
+        if let Ok(reply) = result {
+            let from = NodeId::from(reply.from.as_str());
             if !self.blocked_peers.contains(&from) {
-                self.receive_answer(&from, answer);
+                self.receive_reply(&from, reply);
             }
         }
     }
 }
 
-/// Takes connections until stopped.
+/// Serves calls until stopped.
 async fn serve<H: PeerHandler>(
     inner: Arc<Inner<H>>,
     listener: tokio::net::TcpListener,
     mut stopped: watch::Receiver<bool>,
 ) {
-    let places = Arc::new(Semaphore::new(MAX_ACCEPTED));
+    let permits = Arc::new(Semaphore::new(MAX_INBOUND_CONNECTIONS));
     let meter = inner.meter.clone();
     let timeout = inner.call_timeout;
     let incoming = TcpListenerStream::new(listener).filter_map(move |accepted| {
         let io = accepted.ok()?;
-        let place = Arc::clone(&places).try_acquire_owned().ok()?;
-        let metered = Metered::new(io, meter.clone(), Some(place));
+        let permit = Arc::clone(&permits).try_acquire_owned().ok()?;
+        let metered = MeteredStream::new(io, meter.clone(), Some(permit));
         Some(Ok::<_, std::io::Error>(metered))
     });
     let served = tonic::transport::Server::builder()
         .timeout(timeout)
-        .max_concurrent_streams(MAX_STREAMS)
-        .http2_keepalive_interval(Some(KEEP_ALIVE))
-        .http2_keepalive_timeout(Some(KEEP_ALIVE))
+        .max_concurrent_streams(MAX_STREAMS_PER_CONNECTION)
+        .http2_keepalive_interval(Some(KEEP_ALIVE_INTERVAL))
+        .http2_keepalive_timeout(Some(KEEP_ALIVE_INTERVAL))
         .add_service(PeerServer::new(inner))
         .serve_with_incoming_shutdown(incoming, async move {
             let _ = stopped.wait_for(|&stopped| stopped).await;
         })
         .await;
     if let Err(err) = served {
-        tracing::error!(%err, "peer server ended");
+        tracing::error!(%err, "peer server failed");
     }
 }
 
-/// Hands updates to the handler, in order.
-async fn deliver<H: PeerHandler>(handler: Arc<H>, mut waiting: mpsc::Receiver<Vec<Update>>) {
-    while let Some(updates) = waiting.recv().await {
+/// Passes updates to the handler in order.
+async fn deliver_updates<H: PeerHandler>(handler: Arc<H>, mut queued: mpsc::Receiver<Vec<Update>>) {
+    while let Some(updates) = queued.recv().await {
         if !updates.is_empty() {
             handler.on_updates(updates);
         }
     }
 }
 
-/// Sends what is due, once in each flush period, until stopped.
-async fn run<H: PeerHandler>(inner: Arc<Inner<H>>, mut stopped: watch::Receiver<bool>) {
-    let mut flushes = tokio::time::interval(inner.flush);
+/// Sends what is due at each flush interval until stopped.
+async fn run_flush_loop<H: PeerHandler>(inner: Arc<Inner<H>>, mut stopped: watch::Receiver<bool>) {
+    let mut flushes = tokio::time::interval(inner.flush_interval);
     flushes.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut greet_next = Instant::now();
-    let mut greetings = 0;
+    let mut next_hello = Instant::now();
+    let mut hellos = 0;
     loop {
         tokio::select! {
             _ = flushes.tick() => {}
             _ = stopped.wait_for(|&stopped| stopped) => return,
         }
         send_due(&inner);
-        if Instant::now() >= greet_next {
-            let is_fast = greetings < FAST_GREETINGS;
-            greetings += 1;
-            greet_seeds(
+        if Instant::now() >= next_hello {
+            let is_fast = hellos < FAST_HELLOS;
+            hellos += 1;
+            send_hellos(
                 &inner,
                 if is_fast {
-                    GREET_TIMEOUT
+                    FAST_HELLO_TIMEOUT
                 } else {
                     inner.call_timeout
                 },
             );
-            greet_next = Instant::now() + GREET_INTERVAL;
+            next_hello = Instant::now() + HELLO_INTERVAL;
         }
     }
 }
 
 fn send_due<H: PeerHandler>(inner: &Arc<Inner<H>>) {
-    let Ok(place) = inner.unhandled.try_reserve() else {
+    let Ok(permit) = inner.update_queue.try_reserve() else {
         return;
     };
     let output = {
         let mut state = inner.state();
         let output = state.tick(Instant::now());
-        place.send(output.updates);
+        permit.send(output.updates);
         output.batches
     };
     for (node, batch) in output {
-        if inner.enter(&node) {
+        if inner.try_begin_batch(&node) {
             let inner = Arc::clone(inner);
             tokio::spawn(async move { inner.exchange(node, batch).await });
         } else {
@@ -574,8 +580,8 @@
     }
 }
 
-/// Introduces this node to the seeds while it knows no other node.
-fn greet_seeds<H: PeerHandler>(inner: &Arc<Inner<H>>, timeout: Duration) {
+/// Sends hellos to the seeds while this node knows no other.
+fn send_hellos<H: PeerHandler>(inner: &Arc<Inner<H>>, timeout: Duration) {
     let hello = {
         let state = inner.state();
         if state.overlay().len() > 1 {
@@ -586,6 +592,6 @@
     for &seed in &inner.seeds {
         let inner = Arc::clone(inner);
         let hello = hello.clone();
-        tokio::spawn(async move { inner.greet(seed, hello, timeout).await });
+        tokio::spawn(async move { inner.send_hello(seed, hello, timeout).await });
     }
 }
--- a/crates/peer/src/wire/client.rs
+++ b/crates/peer/src/wire/client.rs
@@ -1,4 +1,4 @@
-//! The calling side: a bounded pool of connections.
+//! The client: a bounded connection pool.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -12,29 +12,28 @@
 
 use crate::error::PeerError;
 use crate::meter::{Connector, Meter};
-use crate::wire::{MAX_EXCHANGE, MAX_REPLY};
+use crate::wire::{MAX_REPLY_BYTES, MAX_REQUEST_BYTES};
 
-/// Most connections that a node keeps to others: its children in the trees, and
-/// the ones that it asks in turn.
+/// Maximum number of connections to other nodes: the children in the trees, and the
+/// nodes queried in round-robin order.
 const MAX_CONNECTIONS: usize = 48;
 
-/// A connection whose calls time out is dropped once it has answered nothing for this long.
-/// A node that is merely slow would otherwise have to take a new connection for each call that
-/// it is late with, which makes it slower still.
-const SILENCE_LIMIT: Duration = Duration::from_millis(1000);
+/// A connection whose calls time out is dropped once it had no reply for this long.
+/// Dropping it at once would make a slow node accept a new connection for each late call,
+/// which slows it down further.
+const MAX_SILENCE: Duration = Duration::from_millis(1000);
 
 /// One connection.
-struct Entry {
+struct Connection {
     channel: Channel,
-    /// When it was last used.
-    used: Instant,
-    /// When it last answered; when it was dialled, before its first answer.
-    answered: Instant,
+    last_used: Instant,
+    /// Time of the last reply; time of creation before the first one.
+    last_reply: Instant,
 }
 
-/// Connections by address. A connection is dialled at its first call.
+/// Connections by address, opened at their first call.
 pub(crate) struct Pool {
-    channels: Mutex<BTreeMap<SocketAddr, Entry>>,
+    connections: Mutex<BTreeMap<SocketAddr, Connection>>,
     connect_timeout: Duration,
     meter: Meter,
 }
@@ -42,16 +41,16 @@
 impl Pool {
     pub(crate) fn new(connect_timeout: Duration, meter: Meter) -> Pool {
         Pool {
-            channels: Mutex::new(BTreeMap::new()),
+            connections: Mutex::new(BTreeMap::new()),
             connect_timeout,
             meter,
         }
     }
 
-    /// Calls the node at `address` and waits at most `timeout`.
+    /// Calls the node at `address` with a timeout.
     ///
     /// # Errors
-    /// When the node can't be reached, is too slow or refuses.
+    /// If the node can't be reached, times out or rejects the call.
     pub(crate) async fn call<Req, Res>(
         &self,
         address: SocketAddr,
@@ -67,63 +66,77 @@
         let result = tokio::time::timeout(timeout, unary(channel, path, req))
             .await
             .map_err(|_| PeerError::Timeout)
-            .and_then(|answered| answered);
+            .and_then(|reply| reply);
         match &result {
-            Ok(_) => self.answered(address),
-            Err(PeerError::Refused(_)) => {}
-            // A connection whose other end vanished without a word would go on
-            // to swallow calls until TCP gives up, after many minutes.
+            Ok(_) => self.record_reply(address),
+            Err(PeerError::Rejected(_)) => {}
+            // A connection whose other end vanished without closing it would lose calls
+            // until TCP gives up after many minutes.
             Err(PeerError::Timeout) => self.drop_if_silent(address),
-            Err(_) => self.drop_channel(address),
+            Err(_) => self.drop_connection(address),
         }
         result
     }
 
     fn channel(&self, address: SocketAddr) -> Result<Channel, PeerError> {
-        let mut channels = self.channels.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
         let now = Instant::now();
-        if let Some(entry) = channels.get_mut(&address) {
-            entry.used = now;
-            return Ok(entry.channel.clone());
+        if let Some(connection) = connections.get_mut(&address) {
+            connection.last_used = now;
+            return Ok(connection.channel.clone());
         }
-        if channels.len() >= MAX_CONNECTIONS {
-            let oldest = channels.iter().min_by_key(|(_, entry)| entry.used);
+        if connections.len() >= MAX_CONNECTIONS {
+            let oldest = connections
+                .iter()
+                .min_by_key(|(_, connection)| connection.last_used);
             if let Some(oldest) = oldest.map(|(address, _)| *address) {
-                channels.remove(&oldest);
+                connections.remove(&oldest);
             }
         }
         let channel = Endpoint::from_shared(format!("http://{address}"))?
             .connect_timeout(self.connect_timeout)
             .tcp_nodelay(true)
             .connect_with_connector_lazy(Connector::new(self.meter.clone()));
-        let entry = Entry {
+        let connection = Connection {
             channel: channel.clone(),
-            used: now,
-            answered: now,
+            last_used: now,
+            last_reply: now,
         };
-        channels.insert(address, entry);
+        connections.insert(address, connection);
         Ok(channel)
     }
 
-    fn answered(&self, address: SocketAddr) {
-        let mut channels = self.channels.lock().unwrap_or_else(PoisonError::into_inner);
-        if let Some(entry) = channels.get_mut(&address) {
-            entry.answered = Instant::now();
+    fn record_reply(&self, address: SocketAddr) {
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        if let Some(connection) = connections.get_mut(&address) {
+            connection.last_reply = Instant::now();
         }
     }
 
     fn drop_if_silent(&self, address: SocketAddr) {
-        let mut channels = self.channels.lock().unwrap_or_else(PoisonError::into_inner);
-        let silent = |entry: &Entry| entry.answered.elapsed() >= SILENCE_LIMIT;
-        if channels.get(&address).is_some_and(silent) {
-            channels.remove(&address);
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        let silent = |connection: &Connection| connection.last_reply.elapsed() >= MAX_SILENCE;
+        if connections.get(&address).is_some_and(silent) {
+            connections.remove(&address);
         }
     }
 
-    /// Drops a connection; the next call dials anew.
-    pub(crate) fn drop_channel(&self, address: SocketAddr) {
-        let mut channels = self.channels.lock().unwrap_or_else(PoisonError::into_inner);
-        channels.remove(&address);
+    /// Drops a connection; the next call opens a new one.
+    pub(crate) fn drop_connection(&self, address: SocketAddr) {
+        let mut connections = self
+            .connections
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner);
+        connections.remove(&address);
     }
 }
 
@@ -133,8 +146,8 @@
     Res: prost::Message + Default + 'static,
 {
     let mut grpc = Grpc::new(channel)
-        .max_decoding_message_size(MAX_REPLY)
-        .max_encoding_message_size(MAX_EXCHANGE);
+        .max_decoding_message_size(MAX_REPLY_BYTES)
+        .max_encoding_message_size(MAX_REQUEST_BYTES);
     grpc.ready().await?;
     let path = PathAndQuery::from_static(path);
     let codec = ProstCodec::<Req, Res>::default();
--- a/crates/peer/src/wire/convert.rs
+++ b/crates/peer/src/wire/convert.rs
@@ -1,4 +1,4 @@
-//! Between items as this crate has them and items as they travel.
+//! Conversion between items and their wire format.
 
 use eelgrassmill_base::Incarnation;
 
@@ -9,16 +9,16 @@
 };
 use crate::wire::messages::{self as wire, Kind};
 
-/// Stands between service and tenant in the key of a usage; no name holds it.
+/// Separates service and tenant in the key of a usage; no name contains it.
 const USAGE_SEPARATOR: char = '\u{1f}';
 
-/// An item or the key of one that is gone, as received.
+/// A received item, or the key of a removed one.
 pub(crate) enum Received {
     Put(Item),
     Removed(ItemKey),
 }
 
-/// Takes an item apart for the wire.
+/// Encodes an item.
 pub(crate) fn to_kind(item: &Item) -> Kind {
     match item {
         Item::Config(c) => Kind::Config(wire::ConfigAnnouncement {
@@ -76,7 +76,7 @@
     }
 }
 
-/// The wire form of the key of an item that is gone.
+/// Encodes the key of a removed item.
 pub(crate) fn to_removed(key: &ItemKey) -> Kind {
     let (kind, name) = match key {
         ItemKey::Config => (4, ""),
@@ -100,8 +100,8 @@
     })
 }
 
-/// Checks and takes in an item; `None` for a kind that this build does not know, and
-/// for names and records over their limits.
+/// Decodes an item; `None` for a kind unknown to this build, and for names and records
+/// over their limits.
 pub(crate) fn from_kind(kind: Kind) -> Option<Received> {
     let item = match kind {
         Kind::Config(c) => Item::Config(ConfigAnnouncement {
@@ -181,12 +181,12 @@
     })
 }
 
-/// A text that may be empty.
+/// A text within its limit, possibly empty.
 fn text(value: String) -> Option<smol_str::SmolStr> {
     (value.len() <= MAX_TEXT_BYTES).then(|| value.into())
 }
 
-/// A text that names something.
+/// A text within its limit that isn't empty.
 pub(crate) fn name(value: String) -> Option<smol_str::SmolStr> {
     (!value.is_empty()).then(|| text(value))?
 }
--- a/crates/peer/src/wire/messages.rs
+++ b/crates/peer/src/wire/messages.rs
@@ -1,108 +1,108 @@
-//! Messages as they travel. Field numbers never change their meaning.
+//! Protocol messages. A field number never changes its meaning.
 
-/// What one node hands to another at one moment.
+/// A batch of state from one node to another.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Batch {
     /// The sender.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// The sender's start.
+    /// The sender's incarnation.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// When it was put together: milliseconds since the sender's start, on its monotonic clock.
+    /// When it was built: milliseconds since the sender's start, on its monotonic clock.
     #[prost(uint64, tag = "3")]
     pub sent_ms: u64,
-    /// Changed state, one entry for each origin.
+    /// Changed state, one entry per origin.
     #[prost(message, repeated, tag = "4")]
     pub updates: Vec<OriginUpdate>,
-    /// Fingerprints of states that were confirmed.
+    /// Fingerprints of confirmed states.
     #[prost(fixed32, repeated, tag = "5")]
     pub confirmed: Vec<u32>,
-    /// In the same order, how long ago, in units of 20 ms, rounded up.
+    /// Ages of these confirmations in units of 20 ms, rounded up.
     #[prost(uint32, repeated, tag = "6")]
     pub confirmed_age: Vec<u32>,
-    /// Fingerprints of states that the sender was told of and does not have.
+    /// Fingerprints of states that the sender requests.
     #[prost(fixed32, repeated, tag = "7")]
     pub want: Vec<u32>,
-    /// Fingerprints of the sender's states that nobody has confirmed to it for too long.
+    /// Fingerprints of the sender's states that lack a recent confirmation.
     #[prost(fixed32, repeated, tag = "8")]
     pub stale: Vec<u32>,
-    /// Whether `have` is a full account, to be answered with all that is not in it.
+    /// Whether `have` is complete and the receiver is to send all states not in it.
     #[prost(bool, tag = "9")]
     pub sync: bool,
-    /// Fingerprints of every state that the sender has.
+    /// Fingerprints of all states that the sender has.
     #[prost(fixed32, repeated, tag = "10")]
     pub have: Vec<u32>,
-    /// Whether the limit of a batch cut this one short.
+    /// Whether states were left out due to the batch size limit.
     #[prost(bool, tag = "11")]
     pub more: bool,
-    /// HLC timestamp of the sender's events: milliseconds since 1970.
+    /// The sender's hybrid logical clock: milliseconds since 1970.
     #[prost(uint64, tag = "12")]
     pub hlc_wall_ms: u64,
-    /// Counts stamps within one millisecond.
+    /// Its counter within one millisecond.
     #[prost(uint32, tag = "13")]
     pub hlc_counter: u32,
 }
 
-/// What changed at one origin.
+/// An update of one origin's state.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct OriginUpdate {
     /// The node whose state it is.
     #[prost(string, tag = "1")]
     pub origin: String,
-    /// Its start.
+    /// Its incarnation.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// The items are all changes after this sequence number; at 0 they are the whole state.
+    /// `items` has all changes after this sequence number; the full state at 0.
     #[prost(uint64, tag = "3")]
     pub base: u64,
     /// The origin's last sequence number.
     #[prost(uint64, tag = "4")]
     pub sequence: u64,
-    /// How long ago the origin confirmed its state, in milliseconds.
+    /// Age of the origin's last confirmation in milliseconds.
     #[prost(uint64, tag = "5")]
     pub age_ms: u64,
-    /// The changes.
+    /// The changed items.
     #[prost(message, repeated, tag = "6")]
     pub items: Vec<Item>,
 }
 
-/// One item of soft state.
+/// An item of soft state.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Item {
     /// The origin's sequence number at its last change.
     #[prost(uint64, tag = "1")]
     pub sequence: u64,
-    /// How long ago it was observed, in milliseconds.
+    /// Time since it was observed, in milliseconds.
     #[prost(uint64, tag = "2")]
     pub age_ms: u64,
-    /// It is dropped at this age, in milliseconds; at 0 it stays as long as its origin.
+    /// Age at which it expires, in milliseconds; at 0 it lives as long as its origin.
     #[prost(uint64, tag = "3")]
     pub ttl_ms: u64,
-    /// What it is.
+    /// The value.
     #[prost(oneof = "Kind", tags = "4, 5, 6, 7, 8, 9, 10, 11, 12, 13")]
     pub kind: Option<Kind>,
 }
 
-/// The kinds of items.
+/// The value of an item, by kind.
 #[derive(Clone, PartialEq, ::prost::Oneof)]
 pub enum Kind {
-    /// A configuration that was accepted.
+    /// An accepted configuration.
     #[prost(message, tag = "4")]
     Config(ConfigAnnouncement),
-    /// What a watcher found of a group.
+    /// A watcher's report on a group's health.
     #[prost(message, tag = "5")]
     Health(HealthReport),
-    /// What a node is.
+    /// A node's addresses and state.
     #[prost(message, tag = "6")]
     Status(NodeStatus),
-    /// What changes often at a node.
+    /// A node's load.
     #[prost(message, tag = "7")]
     Load(NodeLoad),
-    /// A target that takes no new work.
+    /// A target that takes no new requests.
     #[prost(message, tag = "8")]
     Leaving(LeavingTarget),
-    /// A request under suspicion.
+    /// A request suspected of crashing targets.
     #[prost(message, tag = "9")]
     Suspect(Suspect),
     /// The load of a group.
@@ -114,12 +114,12 @@
     /// A group's row.
     #[prost(message, tag = "13")]
     Group(GroupRecord),
-    /// The key of an item that is gone.
+    /// The key of a removed item.
     #[prost(message, tag = "11")]
     Removed(Removed),
 }
 
-/// A configuration that was accepted.
+/// An accepted configuration.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ConfigAnnouncement {
     /// Its version.
@@ -130,27 +130,27 @@
     pub checksum: String,
 }
 
-/// What a watcher found of a group.
+/// A watcher's report on a group's health.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct HealthReport {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// The epoch it was found in.
+    /// The epoch that was checked.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Whether the group may serve.
+    /// Whether the group may receive requests.
     #[prost(bool, tag = "3")]
     pub serving: bool,
     /// The watcher's code for the reason.
     #[prost(uint32, tag = "4")]
     pub code: u32,
-    /// The reason in words.
+    /// The reason as text.
     #[prost(string, tag = "5")]
     pub reason: String,
 }
 
-/// What a node is.
+/// A node's addresses and state.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct NodeStatus {
     /// `IP:PORT` for other nodes.
@@ -168,46 +168,46 @@
     /// Its region.
     #[prost(string, tag = "5")]
     pub region: String,
-    /// Whether it is about to stop.
+    /// Whether it is shutting down.
     #[prost(bool, tag = "6")]
     pub leaving: bool,
-    /// Processor that it may use, in thousandths of a core; 0 where it doesn't say.
+    /// CPU that it may use, in thousandths of a core; 0 if unknown.
     #[prost(uint32, tag = "7")]
     pub cpu_millicores: u32,
 }
 
-/// What changes often at a node.
+/// A node's load.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct NodeLoad {
-    /// The configuration in force there.
+    /// Version of the active configuration.
     #[prost(uint64, tag = "1")]
     pub config_version: u64,
-    /// How full it is, in thousandths.
+    /// Load in thousandths of the capacity.
     #[prost(uint32, tag = "2")]
     pub load_permille: u32,
-    /// Whether it has too little processor for what it does.
+    /// Whether it lacks CPU for its work.
     #[prost(bool, tag = "3")]
     pub overloaded: bool,
 }
 
-/// A target that takes no new work.
+/// A target that takes no new requests.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct LeavingTarget {
     /// Its host.
     #[prost(string, tag = "1")]
     pub host: String,
-    /// The start of the host that said so; 0 where the host list said it.
+    /// The incarnation of the host that reported it; 0 if the host list did.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
 }
 
-/// A request under suspicion of killing targets.
+/// A request suspected of crashing targets.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Suspect {
     /// Fingerprint of the request.
     #[prost(string, tag = "1")]
     pub fingerprint: String,
-    /// What is known of it.
+    /// Opaque record of it.
     #[prost(bytes = "vec", tag = "2")]
     pub record: Vec<u8>,
 }
@@ -221,7 +221,7 @@
     /// The row's version in the table.
     #[prost(uint64, tag = "2")]
     pub version: u64,
-    /// The row and what else is told with it.
+    /// Opaque row with related data.
     #[prost(bytes = "vec", tag = "3")]
     pub record: Vec<u8>,
 }
@@ -238,7 +238,7 @@
     /// The tenant's weight.
     #[prost(uint32, tag = "3")]
     pub weight: u32,
-    /// Tokens since the node's start.
+    /// Cumulative tokens since the node's start.
     #[prost(sint64, tag = "4")]
     pub tokens: i64,
 }
@@ -252,21 +252,21 @@
     /// The epoch it was measured in.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Requests that run.
+    /// Running requests.
     #[prost(uint32, tag = "3")]
     pub running: u32,
-    /// Requests that wait at the group.
+    /// Requests queued at the group.
     #[prost(uint32, tag = "4")]
     pub waiting: u32,
     /// Requests of all nodes that the node, as the group's scheduler, has assigned to it.
     #[prost(uint32, tag = "5")]
     pub assigned: u32,
-    /// Whether it rejects all requests.
+    /// Whether it is ejected since it rejects all requests.
     #[prost(bool, tag = "6")]
     pub ejected: bool,
 }
 
-/// The key of an item that is gone.
+/// The key of a removed item.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct Removed {
     /// The tag of its kind in [`Kind`].
@@ -277,13 +277,13 @@
     pub name: String,
 }
 
-/// Asks for the accepted configuration.
+/// Requests the accepted configuration.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub(crate) struct FetchConfigRequest {
-    /// The asking node.
+    /// The calling node.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// The version at hand; 0 for none.
+    /// The version that the caller has; 0 for none.
     #[prost(uint64, tag = "2")]
     pub have_version: u64,
     /// Its checksum.
@@ -291,13 +291,13 @@
     pub have_checksum: String,
 }
 
-/// The accepted configuration as the answering node has it.
+/// The accepted configuration at the replying node.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub(crate) struct FetchConfigReply {
-    /// Its version; 0 when the node has none.
+    /// Its version; 0 if the node has none.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// Checksum of the whole text.
+    /// Checksum of the full text.
     #[prost(string, tag = "2")]
     pub checksum: String,
     /// Who submitted it.
@@ -311,41 +311,41 @@
     pub body: Option<Body>,
 }
 
-/// How a text travels.
+/// The encodings of a text.
 #[derive(Clone, PartialEq, ::prost::Oneof)]
 pub(crate) enum Body {
-    /// As it is.
+    /// The full text.
     #[prost(string, tag = "5")]
-    Whole(String),
-    /// As a change of the text at hand.
+    Full(String),
+    /// The difference from the caller's text.
     #[prost(message, tag = "6")]
     Difference(TextDifference),
-    /// Not at all, since the asker has it.
+    /// The caller already has it.
     #[prost(bool, tag = "7")]
     Unchanged(bool),
 }
 
-/// A text as a change of another: head and tail kept, the middle replaced.
+/// A text as a difference from a base: prefix and suffix kept, the middle replaced.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub(crate) struct TextDifference {
-    /// Bytes kept at the start.
+    /// Bytes of the base kept at the start.
     #[prost(uint64, tag = "1")]
     pub keep_head: u64,
-    /// Bytes kept at the end.
+    /// Bytes of the base kept at the end.
     #[prost(uint64, tag = "2")]
     pub keep_tail: u64,
-    /// What stands between them.
+    /// The text between them.
     #[prost(string, tag = "3")]
     pub middle: String,
 }
 
-/// Asks for events.
+/// Requests events.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub(crate) struct TimelineRequest {
-    /// The asking node.
+    /// The calling node.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// The query; its form is the time line's.
+    /// The query, in the timeline's encoding.
     #[prost(bytes = "vec", tag = "2")]
     pub query: Vec<u8>,
 }
@@ -353,63 +353,63 @@
 /// Events of one node.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub(crate) struct TimelineReply {
-    /// The events; their form is the time line's.
+    /// The events, in the timeline's encoding.
     #[prost(bytes = "vec", tag = "1")]
     pub events: Vec<u8>,
 }
 
-/// Asks a watcher for slots.
+/// Requests slots from a watcher.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaRequest {
-    /// The asking node.
+    /// The calling node.
     #[prost(string, tag = "1")]
     pub from: String,
-    /// Its start.
+    /// Its incarnation.
     #[prost(uint64, tag = "2")]
     pub incarnation: u64,
-    /// One for each group that it could use.
+    /// One for each group that it can use.
     #[prost(message, repeated, tag = "3")]
     pub demands: Vec<QuotaDemand>,
 }
 
-/// What an entry could use of a group.
+/// An entry host's demand for slots of a group.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaDemand {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
-    /// Requests that it runs there.
+    /// Its normal requests running there.
     #[prost(uint32, tag = "2")]
     pub running: u32,
-    /// Requests that wait for it.
+    /// Its normal requests waiting for a slot.
     #[prost(uint32, tag = "3")]
     pub waiting: u32,
-    /// Urgent requests that wait, besides.
+    /// Its urgent requests waiting for a slot.
     #[prost(uint32, tag = "4")]
     pub urgent_waiting: u32,
     /// The epoch that the demand is for.
     #[prost(uint64, tag = "5")]
     pub epoch: u64,
-    /// Rises with every demand of the entry for the group.
+    /// Sequence number of the entry host's demands for the group.
     #[prost(uint64, tag = "6")]
     pub seq: u64,
-    /// The newest demand whose grant the entry has taken, 0 for none.
+    /// `seq` of the last demand whose grant the entry host has accepted; 0 for none.
     #[prost(uint64, tag = "7")]
     pub accepted_seq: u64,
-    /// Urgent requests that it runs there, besides.
+    /// Its urgent requests running there.
     #[prost(uint32, tag = "8")]
     pub urgent_running: u32,
 }
 
-/// A watcher's answer.
+/// A watcher's reply.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaReply {
-    /// One for each group that it grants slots of.
+    /// One for each group of which slots are granted.
     #[prost(message, repeated, tag = "1")]
     pub grants: Vec<QuotaGrant>,
 }
 
-/// What an entry may use of a group for a while.
+/// Slots of a group granted to an entry host for a limited time.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct QuotaGrant {
     /// The group.
@@ -418,33 +418,33 @@
     /// The epoch that the grant is for.
     #[prost(uint64, tag = "2")]
     pub epoch: u64,
-    /// Requests that may run at a time.
+    /// Slots for any requests.
     #[prost(uint32, tag = "3")]
     pub slots: u32,
-    /// Slots beside these for urgent requests only.
+    /// Additional slots for urgent requests only.
     #[prost(uint32, tag = "4")]
     pub urgent_slots: u32,
-    /// How long it holds, in milliseconds from when the asker sent its question.
+    /// Validity in milliseconds, from when the caller sent its request.
     #[prost(uint64, tag = "5")]
     pub ttl_ms: u64,
-    /// The demand that it answers.
+    /// `seq` of the demand that it answers.
     #[prost(uint64, tag = "6")]
     pub seq: u64,
 }
 
-/// Asks for the changes of a list that the platform keeps.
+/// Requests the changes of a list kept by the platform.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ListRequest {
-    /// The asking node.
+    /// The calling node.
     #[prost(string, tag = "1")]
     pub from: String,
     /// The list's name.
     #[prost(string, tag = "2")]
     pub list: String,
-    /// The version up to which the asker knows it; 0 for nothing.
+    /// The version that the caller has; 0 for none.
     #[prost(uint64, tag = "3")]
     pub since: u64,
-    /// How long to wait for a change, in milliseconds.
+    /// Longest wait for a change, in milliseconds.
     #[prost(uint32, tag = "4")]
     pub wait_ms: u32,
 }
@@ -452,27 +452,27 @@
 /// Changes of a list.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ListReply {
-    /// The list's version at the answering node; 0 where it doesn't know the list.
+    /// The list's version at the replying node; 0 if it doesn't have the list.
     #[prost(uint64, tag = "1")]
     pub version: u64,
-    /// How long ago the list is known to have been like this, in milliseconds.
+    /// Time since this version was known to be current, in milliseconds.
     #[prost(uint32, tag = "2")]
     pub age_ms: u32,
-    /// Whether the answering node gets no answers from the platform itself.
+    /// Whether the replying node itself gets no replies from the platform.
     #[prost(bool, tag = "3")]
     pub platform_unreachable: bool,
-    /// Whether the changes are the whole list.
+    /// Whether the changes are a snapshot of the full list.
     #[prost(bool, tag = "4")]
     pub is_snapshot: bool,
-    /// The changes in order, in the spelling of the nodes' own code.
+    /// The changes in order, in the encoding of the calling crate.
     #[prost(bytes = "vec", repeated, tag = "5")]
     pub changes: Vec<Vec<u8>>,
 }
 
-/// Reports slot events to a model's scheduler, and may ask it for a slot.
+/// Reports slot events to a model's scheduler, and may request a slot.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ScheduleRequest {
-    /// The asking node.
+    /// The calling node.
     #[prost(string, tag = "1")]
     pub from: String,
     /// Its failure domain.
@@ -484,13 +484,13 @@
     /// The model.
     #[prost(string, tag = "4")]
     pub model: String,
-    /// The failure domain whose heads are meant; empty for all.
+    /// Failure domain of the head hosts to schedule; empty for all.
     #[prost(string, tag = "5")]
     pub head_domain: String,
     /// A request that needs a slot.
     #[prost(message, optional, tag = "6")]
     pub slot_request: Option<SlotRequest>,
-    /// What became of requests that have or had one, in order.
+    /// Events of requests that have or had a slot, in order.
     #[prost(message, repeated, tag = "7")]
     pub slot_events: Vec<SlotEvent>,
 }
@@ -498,31 +498,31 @@
 /// A request that needs a slot.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct SlotRequest {
-    /// Unique at the asking node. A request that waits is asked for again under its number.
+    /// Unique at the calling node. A waiting request is sent again with the same number.
     #[prost(uint64, tag = "1")]
     pub request_number: u64,
     /// Prompt tokens.
     #[prost(uint64, tag = "2")]
     pub prompt_tokens: u64,
-    /// Whether it continues after its replica was lost.
+    /// Whether it resumes after its replica was lost.
     #[prost(bool, tag = "3")]
     pub resumed: bool,
     /// 0 is the most urgent.
     #[prost(uint32, tag = "4")]
     pub urgency: u32,
-    /// For how long it can still be on time, in milliseconds.
+    /// Time left to meet its latency objective, in milliseconds.
     #[prost(uint32, tag = "5")]
     pub slo_remaining_ms: u32,
-    /// For how long it may wait at all, in milliseconds.
+    /// Longest total wait for a slot, in milliseconds.
     #[prost(uint32, tag = "6")]
     pub max_wait_ms: u32,
-    /// The longest pause of a stream of its kind that is on time, in milliseconds.
+    /// Longest pause within a stream that meets its latency objective, in milliseconds.
     #[prost(uint32, tag = "7")]
     pub max_pause_ms: u32,
-    /// Hosts that it is not to be sent to while there is another.
+    /// Hosts to avoid if there is another.
     #[prost(string, repeated, tag = "8")]
     pub avoid_hosts: Vec<String>,
-    /// How long the answer may be waited for, in milliseconds.
+    /// Longest wait for this reply, in milliseconds.
     #[prost(uint32, tag = "9")]
     pub wait_ms: u32,
 }
@@ -533,7 +533,7 @@
     /// The request's number.
     #[prost(uint64, tag = "1")]
     pub request_number: u64,
-    /// What happened.
+    /// The kind of event.
     #[prost(enumeration = "SlotEventKind", tag = "2")]
     pub event: i32,
 }
@@ -542,23 +542,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum SlotEventKind {
-    /// The request has ended or was given up.
+    /// The request ended or was cancelled.
     Released = 0,
-    /// Its first event has come.
+    /// Its first event was received.
     Started = 1,
-    /// The head rejected it.
+    /// The head host rejected it.
     Rejected = 2,
-    /// The head failed it before its first event.
+    /// The head host failed before its first event.
     Failed = 3,
 }
 
-/// A scheduler's answer.
+/// A scheduler's reply.
 #[derive(Clone, PartialEq, ::prost::Message)]
 pub struct ScheduleReply {
-    /// What it is.
+    /// The decision.
     #[prost(enumeration = "SlotDecision", tag = "1")]
     pub decision: i32,
-    /// The replica whose head gets it.
+    /// The replica to whose head host to send the request.
     #[prost(string, tag = "2")]
     pub replica: String,
     /// The replica's epoch.
@@ -570,11 +570,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ::prost::Enumeration)]
 #[repr(i32)]
 pub enum SlotDecision {
-    /// None: this node has no such scheduler, or nothing was asked.
+    /// None: this node has no such scheduler, or no slot was requested.
     Unknown = 0,
-    /// It is to be sent to the head that is named.
+    /// Granted: send the request to the replica's head host.
     Granted = 1,
-    /// It waits; ask again.
+    /// Still waiting: send the slot request again.
     Waiting = 2,
     /// No slot became free in time.
     Full = 3,
--- a/crates/peer/src/wire/mod.rs
+++ b/crates/peer/src/wire/mod.rs
@@ -1,8 +1,7 @@
 //! The messages and calls between nodes.
 //!
-//! Written by hand in the shape that a generator gives, with `prost`'s derive
-//! and `tonic`'s codec, so that neither the build nor a change of the protocol
-//! needs a generator.
+//! Hand-written in the form of generated code, with `prost`'s derive and `tonic`'s
+//! codec, so that neither the build nor a protocol change needs a code generator.
 
 pub(crate) mod client;
 pub(crate) mod convert;
@@ -22,7 +21,7 @@
     pub(crate) const QUOTA: &str = "/eelgrassmill.peer.v1.Peer/Quota";
 }
 
-/// Most bytes of a message that a node takes as a request.
-pub(crate) const MAX_EXCHANGE: usize = 256 * 1024;
-/// Most bytes of an answer, which may be a whole configuration or a time line.
-pub(crate) const MAX_REPLY: usize = 4 * 1024 * 1024;
+/// Largest request message in bytes.
+pub(crate) const MAX_REQUEST_BYTES: usize = 256 * 1024;
+/// Largest reply message in bytes, which may be a full configuration or a timeline.
+pub(crate) const MAX_REPLY_BYTES: usize = 4 * 1024 * 1024;
--- a/crates/peer/src/wire/server.rs
+++ b/crates/peer/src/wire/server.rs
@@ -1,4 +1,4 @@
-//! The serving side of the calls.
+//! The server of the peer service.
 
 use std::convert::Infallible;
 use std::future::{Future, ready};
@@ -15,37 +15,37 @@
     Batch, FetchConfigReply, FetchConfigRequest, ListReply, ListRequest, QuotaReply, QuotaRequest,
     ScheduleReply, ScheduleRequest, TimelineReply, TimelineRequest,
 };
-use crate::wire::{MAX_EXCHANGE, MAX_REPLY, SERVICE, path};
+use crate::wire::{MAX_REPLY_BYTES, MAX_REQUEST_BYTES, SERVICE, path};
 
-/// What a node answers to the calls.
-pub(crate) trait Calls: Send + Sync + 'static {
+/// The calls of the peer service.
+pub(crate) trait PeerService: Send + Sync + 'static {
     fn exchange(&self, batch: Batch) -> Result<Batch, Status>;
     fn fetch_config(&self, req: FetchConfigRequest) -> Result<FetchConfigReply, Status>;
     fn timeline(&self, req: TimelineRequest) -> Result<TimelineReply, Status>;
     fn quota(&self, req: QuotaRequest) -> Result<QuotaReply, Status>;
     /// May wait for a change of the list.
     fn list(&self, req: ListRequest) -> impl Future<Output = Result<ListReply, Status>> + Send;
-    /// May wait for a place.
+    /// May wait for a slot.
     fn schedule(
         &self,
         req: ScheduleRequest,
     ) -> impl Future<Output = Result<ScheduleReply, Status>> + Send;
 }
 
-/// The service that takes the calls off HTTP/2.
+/// Dispatches HTTP/2 requests to a [`PeerService`].
 pub(crate) struct PeerServer<C> {
-    calls: Arc<C>,
+    service: Arc<C>,
 }
 
 impl<C> PeerServer<C> {
-    pub(crate) fn new(calls: Arc<C>) -> PeerServer<C> {
-        PeerServer { calls }
+    pub(crate) fn new(service: Arc<C>) -> PeerServer<C> {
+        PeerServer { service }
     }
 }
 
 impl<C> Clone for PeerServer<C> {
     fn clone(&self) -> PeerServer<C> {
-        PeerServer::new(Arc::clone(&self.calls))
+        PeerServer::new(Arc::clone(&self.service))
     }
 }
 
@@ -53,7 +53,7 @@
     const NAME: &'static str = SERVICE;
 }
 
-impl<C: Calls> Service<http::Request<Body>> for PeerServer<C> {
+impl<C: PeerService> Service<http::Request<Body>> for PeerServer<C> {
     type Response = http::Response<Body>;
     type Error = Infallible;
     type Future = BoxFuture<Self::Response, Self::Error>;
@@ -63,30 +63,32 @@
     }
 
     fn call(&mut self, req: http::Request<Body>) -> Self::Future {
-        let calls = Arc::clone(&self.calls);
+        let service = Arc::clone(&self.service);
         match req.uri().path() {
-            path::EXCHANGE => unary(req, MAX_EXCHANGE, move |batch| ready(calls.exchange(batch))),
-            path::FETCH_CONFIG => unary(req, MAX_EXCHANGE, move |r| ready(calls.fetch_config(r))),
-            path::TIMELINE => unary(req, MAX_EXCHANGE, move |r| ready(calls.timeline(r))),
-            path::QUOTA => unary(req, MAX_EXCHANGE, move |r| ready(calls.quota(r))),
-            path::SCHEDULE => unary(req, MAX_EXCHANGE, move |r| async move {
-                calls.schedule(r).await
+            path::EXCHANGE => unary(req, MAX_REQUEST_BYTES, move |batch| {
+                ready(service.exchange(batch))
             }),
-            path::LIST => unary(
-                req,
-                MAX_EXCHANGE,
-                move |r| async move { calls.list(r).await },
-            ),
-            _ => Box::pin(async { Ok(Status::unimplemented("unknown call").into_http()) }),
+            path::FETCH_CONFIG => unary(req, MAX_REQUEST_BYTES, move |r| {
+                ready(service.fetch_config(r))
+            }),
+            path::TIMELINE => unary(req, MAX_REQUEST_BYTES, move |r| ready(service.timeline(r))),
+            path::QUOTA => unary(req, MAX_REQUEST_BYTES, move |r| ready(service.quota(r))),
+            path::SCHEDULE => unary(req, MAX_REQUEST_BYTES, move |r| async move {
+                service.schedule(r).await
+            }),
+            path::LIST => unary(req, MAX_REQUEST_BYTES, move |r| async move {
+                service.list(r).await
+            }),
+            _ => Box::pin(async { Ok(Status::unimplemented("unknown method").into_http()) }),
         }
     }
 }
 
-/// Decodes one message of at most `limit` bytes, calls `answer` with it and encodes the result.
+/// Decodes one message of at most `limit` bytes, calls `handler` with it and encodes the result.
 fn unary<Req, Res, Fut>(
     req: http::Request<Body>,
     limit: usize,
-    answer: impl FnOnce(Req) -> Fut + Send + 'static,
+    handler: impl FnOnce(Req) -> Fut + Send + 'static,
 ) -> BoxFuture<http::Response<Body>, Infallible>
 where
     Fut: Future<Output = Result<Res, Status>> + Send + 'static,
@@ -97,17 +99,17 @@
         let codec = ProstCodec::<Res, Req>::default();
         let mut grpc = Grpc::new(codec)
             .max_decoding_message_size(limit)
-            .max_encoding_message_size(MAX_REPLY);
+            .max_encoding_message_size(MAX_REPLY_BYTES);
         let method = Method {
-            answer: Some(answer),
+            handler: Some(handler),
         };
         Ok(grpc.unary(method, req).await)
     })
 }
 
-/// One call as a service, which is used once.
+/// A single-use service for one call.
 struct Method<F> {
-    answer: Option<F>,
+    handler: Option<F>,
 }
 
 impl<F, Fut, Req, Res> Service<Request<Req>> for Method<F>
@@ -126,11 +128,11 @@
     }
 
     fn call(&mut self, req: Request<Req>) -> Self::Future {
-        let answer = self.answer.take();
+        let handler = self.handler.take();
         Box::pin(async move {
-            match answer {
-                Some(answer) => answer(req.into_inner()).await.map(Response::new),
-                None => Err(Status::internal("a call was answered twice")),
+            match handler {
+                Some(handler) => handler(req.into_inner()).await.map(Response::new),
+                None => Err(Status::internal("call was handled twice")),
             }
         })
     }
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -160,7 +160,7 @@
 
     let huge = here.fetch_timeline(&other, vec![0; 1024 * 1024], LIMIT);
     let huge = cluster.runtime.block_on(huge);
-    expect_that!(huge, err(pat!(PeerError::Refused(_))));
+    expect_that!(huge, err(pat!(PeerError::Rejected(_))));
 
     cluster.nodes["node-1"].blocked_peers.set(["node-0".into()]);
     let refused = here.fetch_timeline(&other, Vec::new(), LIMIT);
