--- a/crates/node/src/loops/quota.rs
+++ b/crates/node/src/loops/quota.rs
@@ -7,9 +7,7 @@
 use eelgrassmill_base::{GroupId, NodeId};
 use eelgrassmill_config::{Config, ServiceKind};
 use eelgrassmill_group::GroupPhase;
-use eelgrassmill_peer::{
-    PeerNode, QuotaDemand as DemandItem, QuotaGrant as GrantItem, QuotaReply, QuotaRequest,
-};
+use eelgrassmill_peer::{PeerNode, QuotaReply, QuotaRequest, SlotDemand, SlotGrant};
 use eelgrassmill_route::{QUOTA_TERM, QuotaDemand, QuotaGrant, Slots};
 use tokio::runtime::Handle;
 
@@ -100,7 +98,7 @@
         let req = QuotaRequest {
             from: self.core.ident.node.to_string(),
             incarnation: self.core.ident.incarnation,
-            demands: demands.iter().map(demand_item).collect(),
+            demands: demands.iter().map(slot_demand).collect(),
         };
         let core = self.core.clone();
         let peer = self.peer.clone();
@@ -127,7 +125,7 @@
     let grants = req.demands.iter().filter_map(|item| {
         let shared = shared(&cfg, &mut fleet, &entries, &item.group)?;
         let grant = quotas.issue(&shared, &demand(req, item), now)?;
-        Some(grant_item(&grant))
+        Some(slot_grant(&grant))
     });
     QuotaReply {
         grants: grants.collect(),
@@ -162,12 +160,12 @@
     fleet.serving_nodes().map(|row| row.node.clone()).collect()
 }
 
-fn demand_item(demand: &QuotaDemand) -> DemandItem {
-    DemandItem {
+fn slot_demand(demand: &QuotaDemand) -> SlotDemand {
+    SlotDemand {
         group: demand.group.to_string(),
         epoch: demand.epoch,
         seq: demand.seq,
-        accepted_seq: demand.held_seq,
+        held_seq: demand.held_seq,
         running: demand.running.normal,
         urgent_running: demand.running.urgent,
         waiting: demand.waiting.normal,
@@ -175,14 +173,14 @@
     }
 }
 
-fn demand(req: &QuotaRequest, item: &DemandItem) -> QuotaDemand {
+fn demand(req: &QuotaRequest, item: &SlotDemand) -> QuotaDemand {
     QuotaDemand {
         entry: req.from.as_str().into(),
         incarnation: req.incarnation,
         group: GroupId::from(item.group.as_str()),
         epoch: item.epoch,
         seq: item.seq,
-        held_seq: item.accepted_seq,
+        held_seq: item.held_seq,
         running: Slots {
             normal: item.running,
             urgent: item.urgent_running,
@@ -194,8 +192,8 @@
     }
 }
 
-fn grant_item(grant: &QuotaGrant) -> GrantItem {
-    GrantItem {
+fn slot_grant(grant: &QuotaGrant) -> SlotGrant {
+    SlotGrant {
         group: grant.group.to_string(),
         epoch: grant.epoch,
         seq: grant.seq,
@@ -205,7 +203,7 @@
     }
 }
 
-fn grant(core: &Core, issuer: &NodeId, item: &GrantItem) -> QuotaGrant {
+fn grant(core: &Core, issuer: &NodeId, item: &SlotGrant) -> QuotaGrant {
     QuotaGrant {
         issuer: issuer.clone(),
         entry: core.ident.node.clone(),
--- a/crates/node/src/state/usage.rs
+++ b/crates/node/src/state/usage.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use eelgrassmill_base::{NodeId, ServiceName, TenantId};
-use eelgrassmill_peer::{Item, TenantUsage as UsageItem};
+use eelgrassmill_peer::{Item, UsageReport};
 use eelgrassmill_route::TenantUsage;
 
 /// Tokens by which a tenant's use has to grow before it is told again.
@@ -39,7 +39,7 @@
                 continue;
             }
             own.told = own.used;
-            items.push(Item::Usage(UsageItem {
+            items.push(Item::Usage(UsageReport {
                 service: service.clone(),
                 tenant: usage.tenant,
                 weight: usage.weight,
@@ -53,7 +53,7 @@
     ///
     /// The first word of an entry is where counting begins: this node may have
     /// started long after it, and must not charge its whole past at once.
-    pub(crate) fn heard(&mut self, from: &NodeId, item: &UsageItem) -> TenantUsage {
+    pub(crate) fn heard(&mut self, from: &NodeId, item: &UsageReport) -> TenantUsage {
         let heard = self.heard.entry(from.clone()).or_default();
         let key = (item.service.clone(), item.tenant.clone());
         let before = heard.insert(key, item.tokens).unwrap_or(item.tokens);
--- a/crates/peer/examples/capacity/rows.rs
+++ b/crates/peer/examples/capacity/rows.rs
@@ -8,7 +8,7 @@
     planner_key,
 };
 use eelgrassmill_peer::capacity::{Inputs, Line};
-use eelgrassmill_peer::{QuotaDemand, QuotaGrant, QuotaReply, QuotaRequest};
+use eelgrassmill_peer::{QuotaReply, QuotaRequest, SlotDemand, SlotGrant};
 use eelgrassmill_stores::Row;
 use prost::Message;
 use serde::Serialize;
@@ -69,14 +69,14 @@
 
 /// A demand of an idle entry and its grant as they travel.
 fn demand_bytes() -> f64 {
-    let demand = QuotaDemand {
+    let demand = SlotDemand {
         group: "drafting/17".into(),
         epoch: 12,
         seq: 4_567,
-        accepted_seq: 4_566,
-        ..QuotaDemand::default()
+        held_seq: 4_566,
+        ..SlotDemand::default()
     };
-    let grant = QuotaGrant {
+    let grant = SlotGrant {
         group: "drafting/17".into(),
         epoch: 12,
         seq: 4_567,
--- a/crates/peer/src/item.rs
+++ b/crates/peer/src/item.rs
@@ -26,7 +26,7 @@
         /// The load of a group.
         GroupLoad(GroupLoad),
         /// What a tenant has used at the node.
-        Usage(TenantUsage),
+        Usage(UsageReport),
         /// A group's row, published by its planner.
         Group(GroupRecord),
     }
@@ -124,7 +124,7 @@
     }
 
     /// What one tenant has used of a service at the node, a low-priority item.
-    pub struct TenantUsage {
+    pub struct UsageReport {
         /// The service.
         pub service: ServiceName,
         /// The tenant.
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -25,13 +25,13 @@
 pub use crate::item::{
     Change, ConfigAnnouncement, GroupLoad, GroupRecord, HealthReport, Item, ItemKey, LeavingTarget,
     MAX_GROUP_RECORD_BYTES, MAX_SUSPECT_RECORD_BYTES, MAX_TEXT_BYTES, NodeLoad, NodeStatus,
-    Suspect, TenantUsage, Update,
+    Suspect, Update, UsageReport,
 };
 pub use crate::meter::Traffic;
 pub use crate::node::{HlcTimestamp, PeerHandler, PeerNode, PeerNodeConfig};
 pub use crate::overlay::{FAN_OUT, MAX_MESH_NODES, Overlay};
 pub use crate::wire::messages::{
-    Batch, Item as WireItem, Kind as WireKind, ListReply, ListRequest, OriginUpdate, QuotaDemand,
-    QuotaGrant, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, SlotDecision, SlotEvent,
-    SlotEventKind, SlotRequest,
+    Batch, Item as WireItem, Kind as WireKind, ListReply, ListRequest, OriginUpdate, QuotaReply,
+    QuotaRequest, ScheduleReply, ScheduleRequest, SlotDecision, SlotDemand, SlotEvent,
+    SlotEventKind, SlotGrant, SlotRequest,
 };
--- a/crates/peer/src/wire/convert.rs
+++ b/crates/peer/src/wire/convert.rs
@@ -5,7 +5,7 @@
 use crate::item::{
     ConfigAnnouncement, GroupLoad, GroupRecord, HealthReport, Item, ItemKey, LeavingTarget,
     MAX_GROUP_RECORD_BYTES, MAX_SUSPECT_RECORD_BYTES, MAX_TEXT_BYTES, NodeLoad, NodeStatus,
-    Suspect, TenantUsage,
+    Suspect, UsageReport,
 };
 use crate::wire::messages::{self as wire, Kind};
 
@@ -67,7 +67,7 @@
             version: g.version,
             record: g.record.clone(),
         }),
-        Item::Usage(u) => Kind::Usage(wire::TenantUsage {
+        Item::Usage(u) => Kind::Usage(wire::UsageReport {
             service: u.service.to_string(),
             tenant: u.tenant.to_string(),
             weight: u.weight,
@@ -152,7 +152,7 @@
             record: g.record,
         }),
         Kind::Group(_) => return None,
-        Kind::Usage(u) => Item::Usage(TenantUsage {
+        Kind::Usage(u) => Item::Usage(UsageReport {
             service: name(u.service)?,
             tenant: name(u.tenant)?,
             weight: u.weight,
--- a/crates/peer/src/wire/messages.rs
+++ b/crates/peer/src/wire/messages.rs
@@ -110,7 +110,7 @@
     GroupLoad(GroupLoad),
     /// What a tenant has used.
     #[prost(message, tag = "12")]
-    Usage(TenantUsage),
+    Usage(UsageReport),
     /// A group's row.
     #[prost(message, tag = "13")]
     Group(GroupRecord),
@@ -228,7 +228,7 @@
 
 /// What one tenant has used of a service at a node.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct TenantUsage {
+pub struct UsageReport {
     /// The service.
     #[prost(string, tag = "1")]
     pub service: String,
@@ -369,12 +369,12 @@
     pub incarnation: u64,
     /// One for each group that it can use.
     #[prost(message, repeated, tag = "3")]
-    pub demands: Vec<QuotaDemand>,
+    pub demands: Vec<SlotDemand>,
 }
 
 /// An entry host's demand for slots of a group.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct QuotaDemand {
+pub struct SlotDemand {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
@@ -395,7 +395,7 @@
     pub seq: u64,
     /// `seq` of the last demand whose grant the entry host has accepted; 0 for none.
     #[prost(uint64, tag = "7")]
-    pub accepted_seq: u64,
+    pub held_seq: u64,
     /// Its urgent requests running there.
     #[prost(uint32, tag = "8")]
     pub urgent_running: u32,
@@ -406,12 +406,12 @@
 pub struct QuotaReply {
     /// One for each group of which slots are granted.
     #[prost(message, repeated, tag = "1")]
-    pub grants: Vec<QuotaGrant>,
+    pub grants: Vec<SlotGrant>,
 }
 
 /// Slots of a group granted to an entry host for a limited time.
 #[derive(Clone, PartialEq, ::prost::Message)]
-pub struct QuotaGrant {
+pub struct SlotGrant {
     /// The group.
     #[prost(string, tag = "1")]
     pub group: String,
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -6,8 +6,8 @@
 
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
-    Change, ConfigAnnouncement, HealthReport, Item, PeerError, QuotaDemand, QuotaRequest,
-    ScheduleRequest, SlotRequest,
+    Change, ConfigAnnouncement, HealthReport, Item, PeerError, QuotaRequest, ScheduleRequest,
+    SlotDemand, SlotRequest,
 };
 use googletest::prelude::*;
 
@@ -138,12 +138,12 @@
     let req = QuotaRequest {
         from: "node-0".into(),
         incarnation: 1,
-        demands: vec![QuotaDemand {
+        demands: vec![SlotDemand {
             group: "replies/0".into(),
             running: 1,
             waiting: 5,
             urgent_waiting: 2,
-            ..QuotaDemand::default()
+            ..SlotDemand::default()
         }],
     };
     let quota = cluster
--- a/crates/peer/tests/support/cluster.rs
+++ b/crates/peer/tests/support/cluster.rs
@@ -8,7 +8,7 @@
 use eelgrassmill_base::NodeId;
 use eelgrassmill_peer::{
     BlockedPeers, ConfigText, DisseminationConfig, Item, Member, PeerHandler, PeerNode,
-    PeerNodeConfig, QuotaGrant, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, Timing,
+    PeerNodeConfig, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, SlotGrant, Timing,
     Update, checksum,
 };
 
@@ -64,7 +64,7 @@
     }
 
     fn quota(&self, req: QuotaRequest) -> QuotaReply {
-        let grant = |demand: &eelgrassmill_peer::QuotaDemand| QuotaGrant {
+        let grant = |demand: &eelgrassmill_peer::SlotDemand| SlotGrant {
             group: demand.group.clone(),
             epoch: 1,
             slots: demand.waiting,
