--- a/crates/peer/examples/capacity/main.rs
+++ b/crates/peer/examples/capacity/main.rs
@@ -15,7 +15,7 @@
 mod support;
 mod transport;
 
-use eelgrassmill_peer::capacity::{Inputs, Line, Size, table};
+use eelgrassmill_peer::capacity::{Inputs, LinearCost, Size, table};
 
 /// One measurement at one size.
 pub(crate) type Point = (f64, f64);
@@ -35,7 +35,7 @@
     let inputs = Inputs::parse(&inputs.to_string()).expect("inputs as they were printed");
     println!(
         "totals for each node at the aim\n\n{}",
-        table(&Size::AIM, &inputs)
+        table(&Size::DESIGN, &inputs)
     );
     if std::env::args().any(|arg| arg == "--days") {
         days::play();
@@ -45,15 +45,15 @@
 fn print_totals(file: &str) {
     let text = std::fs::read_to_string(file).expect("the file can be read");
     let inputs = Inputs::parse(&text).expect("the file has all inputs");
-    println!("{}", table(&Size::AIM, &inputs));
+    println!("{}", table(&Size::DESIGN, &inputs));
 }
 
 /// Prints the points of a slope and gives its line.
-pub(crate) fn line(name: &str, points: &[Point]) -> Line {
+pub(crate) fn line(name: &str, points: &[Point]) -> LinearCost {
     print!("{name:<16}");
     for (n, cost) in points {
         print!("  {n:>6}: {cost:.4e}");
     }
     println!();
-    Line::through(points)
+    LinearCost::fit(points)
 }
--- a/crates/peer/examples/capacity/rows.rs
+++ b/crates/peer/examples/capacity/rows.rs
@@ -7,7 +7,7 @@
     GroupPhase, GroupRow, HostRow, NodeRow, NodeState, PlannerRow, group_key, host_key, node_key,
     planner_key,
 };
-use eelgrassmill_peer::capacity::{Inputs, Line};
+use eelgrassmill_peer::capacity::{Inputs, LinearCost};
 use eelgrassmill_peer::{QuotaReply, QuotaRequest, SlotDemand, SlotGrant};
 use eelgrassmill_stores::Row;
 use prost::Message;
@@ -94,11 +94,11 @@
     (req.encoded_len() + reply.encoded_len()) as f64
 }
 
-fn fixed(name: &str, bytes: f64) -> Line {
+fn fixed(name: &str, bytes: f64) -> LinearCost {
     println!("{name:<16}  {bytes}");
-    Line {
+    LinearCost {
         fixed: bytes,
-        each: 0.0,
+        per_unit: 0.0,
     }
 }
 
--- a/crates/peer/examples/capacity/transport.rs
+++ b/crates/peer/examples/capacity/transport.rs
@@ -126,12 +126,12 @@
 }
 
 /// A cost that does not grow: the mean of the points.
-fn constant(name: &str, points: &[(f64, f64)]) -> eelgrassmill_peer::capacity::Line {
+fn constant(name: &str, points: &[(f64, f64)]) -> eelgrassmill_peer::capacity::LinearCost {
     line(name, points);
     let sum: f64 = points.iter().map(|p| p.1).sum();
-    eelgrassmill_peer::capacity::Line {
+    eelgrassmill_peer::capacity::LinearCost {
         fixed: sum / points.len() as f64,
-        each: 0.0,
+        per_unit: 0.0,
     }
 }
 
--- a/crates/peer/src/capacity/inputs.rs
+++ b/crates/peer/src/capacity/inputs.rs
@@ -1,81 +1,81 @@
-//! Measured slopes.
+//! Measured costs as linear functions.
 
 use std::fmt;
 
 use eelgrassmill_base::value;
 
-/// A cost that grows with one number: `fixed + each * n`.
+/// A cost that grows linearly with a number: `fixed + per_unit * n`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Line {
+pub struct LinearCost {
     /// The cost at 0.
     pub fixed: f64,
-    /// What one more adds.
-    pub each: f64,
+    /// The cost of each further unit.
+    pub per_unit: f64,
 }
 
-impl Line {
-    /// The line of least squares through `(n, cost)`; through one point a constant.
-    pub fn through(points: &[(f64, f64)]) -> Line {
+impl LinearCost {
+    /// Least-squares fit through points of `(n, cost)`; a constant for one point.
+    pub fn fit(points: &[(f64, f64)]) -> LinearCost {
         let count = points.len().max(1) as f64;
         let mean_n = points.iter().map(|p| p.0).sum::<f64>() / count;
         let mean_cost = points.iter().map(|p| p.1).sum::<f64>() / count;
-        let spread: f64 = points.iter().map(|p| (p.0 - mean_n).powi(2)).sum();
-        if spread == 0.0 {
-            return Line {
+        let variance: f64 = points.iter().map(|p| (p.0 - mean_n).powi(2)).sum();
+        if variance == 0.0 {
+            return LinearCost {
                 fixed: mean_cost,
-                each: 0.0,
+                per_unit: 0.0,
             };
         }
-        let common: f64 = points
+        let covariance: f64 = points
             .iter()
             .map(|p| (p.0 - mean_n) * (p.1 - mean_cost))
             .sum();
-        let each = common / spread;
-        Line {
-            fixed: mean_cost - each * mean_n,
-            each,
+        let per_unit = covariance / variance;
+        LinearCost {
+            fixed: mean_cost - per_unit * mean_n,
+            per_unit,
         }
     }
 
     /// The cost at `n`.
     pub fn at(self, n: f64) -> f64 {
-        self.fixed + self.each * n
+        self.fixed + self.per_unit * n
     }
 }
 
-impl fmt::Display for Line {
+impl fmt::Display for LinearCost {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{:.4e} {:+.4e}", self.fixed, self.each)
+        write!(f, "{:.4e} {:+.4e}", self.fixed, self.per_unit)
     }
 }
 
 value! {
-    /// Why a text is not a set of inputs.
+    /// A text isn't a valid set of inputs: the name of the missing or malformed input.
     pub struct InputsError(pub String);
 }
 
 impl fmt::Display for InputsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "not a set of inputs: {}", self.0)
+        write!(f, "invalid or missing input: {}", self.0)
     }
 }
 
 impl std::error::Error for InputsError {}
 
-/// Declares the inputs with what each grows with, and reads and writes them by name.
+/// Declares the inputs with the units that they grow with, and parses and prints them by name.
 macro_rules! inputs {
     ($($(#[doc = $doc:literal])+ $name:ident by $unit:literal,)+) => {
-        /// All measured slopes.
+        /// All measured costs.
         #[derive(Clone, Debug, Default, PartialEq)]
         pub struct Inputs {
-            $($(#[doc = $doc])+ pub $name: Line,)+
+            $($(#[doc = $doc])+ pub $name: LinearCost,)+
         }
 
         impl Inputs {
-            /// Reads what [`Inputs`] prints.
+            /// Parses the format that [`Inputs`] prints.
             ///
             /// # Errors
-            /// When a line is not understood or an input is missing.
+            /// If a line is malformed or an input is missing.
             pub fn parse(text: &str) -> Result<Inputs, InputsError> {
                 let mut inputs = Inputs::default();
                 $(inputs.$name = read(text, stringify!($name))?;)+
@@ -98,9 +98,9 @@
     };
 }
 
-fn read(text: &str, name: &str) -> Result<Line, InputsError> {
+fn read(text: &str, name: &str) -> Result<LinearCost, InputsError> {
     let missing = || InputsError(name.to_string());
-    // The page has the points of the same names as well, without a sign of equality.
+    // The page also has measured points under the same names, without an equals sign.
     let is_input = |line: &&str| {
         let mut words = line.split_whitespace();
         words.next() == Some(name) && words.next() == Some("=")
@@ -111,38 +111,38 @@
         let number = numbers.next().and_then(|n| n.parse().ok());
         number.ok_or_else(missing)
     };
-    Ok(Line {
+    Ok(LinearCost {
         fixed: next()?,
-        each: next()?,
+        per_unit: next()?,
     })
 }
 
 inputs! {
-    /// Bytes of batches a second at one node, both ways.
+    /// Bytes of batches per second at one node, both directions.
     spread_bytes by "node",
-    /// Calls a second that one node makes.
+    /// Calls per second that one node makes.
     spread_calls by "node",
-    /// Seconds of a core a second at one node, without the transport.
+    /// CPU seconds per second at one node, without the transport.
     spread_core by "node",
     /// Bytes of memory of one node's dissemination state.
     spread_state by "node",
-    /// Bytes of a call beside its batches, both ways.
+    /// Bytes of a call without its batches, both directions.
     call_bytes by "call",
-    /// Seconds of a core for one call, both ends together.
+    /// CPU seconds of one call, at both ends together.
     call_core by "call",
-    /// Bytes of one probe of a host, both ways.
+    /// Bytes of one probe of a host, both directions.
     probe_bytes by "host of a group",
-    /// Seconds of a core for one probe at the prober.
+    /// CPU seconds of one probe at the prober.
     probe_core by "host of a group",
-    /// Seconds of a core for one finding on a group.
+    /// CPU seconds of one health check of a group.
     judge_core by "host of a group",
     /// Bytes of memory of one watched group.
     watch_state by "host of a group",
     /// Bytes of memory of the evidence on all groups.
     evidence_state by "group",
-    /// Seconds of a core to see which groups may serve and hand them to the picker.
+    /// CPU seconds to determine which groups may receive requests and to update the picker.
     pulse_core by "group",
-    /// Seconds of a core for one plan of a region.
+    /// CPU seconds of one plan of a region.
     plan_core by "group",
     /// Bytes of memory of the planner's view.
     plan_state by "group",
@@ -150,17 +150,17 @@
     node_row by "node row",
     /// Bytes of a group row as read.
     group_row by "host of a group",
-    /// Bytes of the small row beside the configuration.
+    /// Bytes of the configuration's head row.
     head_row by "row",
     /// Bytes of a planner row as read.
     planner_row by "row",
-    /// Bytes of a group row with its hosts as the planner tells it.
+    /// Bytes of a group row with its hosts as published by the planner.
     group_item by "host of a group",
     /// Bytes of one demand for slots and its grant, without the call.
     quota_demand by "demand",
-    /// Seconds of a core to decide on one demand for slots.
+    /// CPU seconds to decide on one demand for slots.
     issue_core by "entry",
-    /// Seconds of a core to choose the watchers of one group.
+    /// CPU seconds to choose the watchers of one group.
     watchers_core by "node",
     /// Bytes of a host row as read.
     host_row by "host row",
@@ -168,17 +168,17 @@
     host_entry by "line",
     /// Bytes of the row of the accepted configuration.
     config_row by "group",
-    /// Seconds of a core to admit, start and settle a request.
+    /// CPU seconds to admit, start and settle a request.
     admit_core by "tenant",
-    /// Seconds of a core to pick a group for a request.
+    /// CPU seconds to pick a group for a request.
     pick_core by "group",
-    /// Bytes of memory of the requests that wait.
+    /// Bytes of memory of queued requests.
     waiting_state by "request",
-    /// Seconds of a core for one address answer.
+    /// CPU seconds of one reply to an address query.
     address_core by "node",
     /// Bytes of a claim row as written.
     claim_row by "claim",
-    /// Seconds of a core for one event.
+    /// CPU seconds of one event.
     event_core by "event",
     /// Bytes of memory of the event log.
     event_state by "event",
--- a/crates/peer/src/capacity/roles.rs
+++ b/crates/peer/src/capacity/roles.rs
@@ -1,4 +1,4 @@
-//! What each role of a node needs at a size.
+//! The resource usage of each role of a node at a given system size.
 
 use std::fmt::Write;
 
@@ -6,180 +6,180 @@
 
 use crate::capacity::Inputs;
 
-/// Probes of a host a second by one watcher.
-const PROBES: f64 = 2.0;
-/// Findings on a group a second by one watcher.
-const FINDINGS: f64 = 8.0;
+/// Probes of a host per second by one watcher.
+const PROBES_PER_S: f64 = 2.0;
+/// Health reports on a group per second by one watcher.
+const HEALTH_REPORTS_PER_S: f64 = 8.0;
 /// Watchers of a group.
-const WATCHERS: f64 = 3.0;
-/// Rounds of reading and of planning a second.
-const ROUNDS: f64 = 2.0;
-/// Times a second at which candidates are worked out.
-const PULSES: f64 = 20.0;
-/// Nodes of each failure domain that read the table at each round.
-const READERS: f64 = 4.0;
-/// Nodes of each region that may take it over, and so read node rows at each round.
-const CONTENDERS: f64 = 3.0;
-/// Rounds a second of the other nodes.
-const SELDOM_ROUNDS: f64 = 0.1;
-/// Scans of host rows and of group rows a second by a planner while nothing is in change.
-const PLANNER_SCANS: f64 = 0.5;
-/// Demands for slots a second for a group at which the entry runs something.
-const BUSY_DEMANDS: f64 = 4.0;
-/// Demands for slots a second for a group at which it runs nothing: each third round.
-const IDLE_DEMANDS: f64 = BUSY_DEMANDS / 3.0;
-/// Renewals of a node's lease a second: three in a term of six seconds.
-const RENEWALS: f64 = 0.5;
-/// Planner's probes of a host a second: every second round.
-const PLANNER_PROBES: f64 = 1.0;
-/// Events of a request.
-const REQUEST_EVENTS: f64 = 3.0;
-/// Events that a log keeps of requests, by its default bounds.
-const KEPT_EVENTS: f64 = 10_000.0;
-/// Seconds for which a caller keeps an address answer.
-const ADDRESS_TERM: f64 = 60.0;
-/// Rows written for a request that runs at most once: the claim and its end.
-const CLAIM_WRITES: f64 = 2.0;
-/// Reads a second of the row that says which claims are past their time.
-const ERA_READS: f64 = 0.05;
-/// Restarts of nodes a day, as if all restarts of the aim were of nodes.
-const NODE_RESTARTS: f64 = 180.0;
-/// Seconds of a day.
-const DAY: f64 = 86_400.0;
-
-/// A size of the system.
+const WATCHERS_PER_GROUP: f64 = 3.0;
+/// Rounds of reading and of planning per second.
+const ROUNDS_PER_S: f64 = 2.0;
+/// Updates of the candidate groups per second.
+const CANDIDATE_UPDATES_PER_S: f64 = 20.0;
+/// Nodes per failure domain that read the table at each round.
+const READERS_PER_DOMAIN: f64 = 4.0;
+/// Nodes per region that may become its planner, and therefore read node rows at each round.
+const TAKEOVER_CANDIDATES_PER_REGION: f64 = 3.0;
+/// Rounds per second of the other nodes.
+const INFREQUENT_ROUNDS_PER_S: f64 = 0.1;
+/// Scans of host rows and of group rows per second by a planner while nothing changes.
+const PLANNER_SCANS_PER_S: f64 = 0.5;
+/// Demands for slots per second for a group at which the entry host runs requests.
+const BUSY_DEMANDS_PER_S: f64 = 4.0;
+/// Demands for slots per second for a group at which it runs none: every third round.
+const IDLE_DEMANDS_PER_S: f64 = BUSY_DEMANDS_PER_S / 3.0;
+/// Renewals of a node's lease per second: three in a TTL of six seconds.
+const LEASE_RENEWALS_PER_S: f64 = 0.5;
+/// Planner's probes of a host per second: every other round.
+const PLANNER_PROBES_PER_S: f64 = 1.0;
+/// Timeline events per request.
+const EVENTS_PER_REQUEST: f64 = 3.0;
+/// Request events that an event log keeps by its default bounds.
+const MAX_REQUEST_EVENTS: f64 = 10_000.0;
+/// Seconds for which a caller caches a list of addresses.
+const ADDRESS_TTL_S: f64 = 60.0;
+/// Rows written for an at-most-once request: its claim and its completion.
+const WRITES_PER_CLAIM: f64 = 2.0;
+/// Reads per second of the row that defines which claims have expired.
+const ERA_READS_PER_S: f64 = 0.05;
+/// Node restarts per day, counting all restarts of the design size as those of nodes.
+const NODE_RESTARTS_PER_DAY: f64 = 180.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
+
+/// A system size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Size {
     /// Nodes.
     pub nodes: f64,
-    /// Hosts that groups are formed of.
+    /// Hosts available for groups.
     pub hosts: f64,
     /// Groups.
     pub groups: f64,
-    /// Hosts of a group.
+    /// Hosts per group.
     pub hosts_per_group: f64,
     /// Failure domains.
     pub failure_domains: f64,
-    /// Requests that run at a time, over all groups.
-    pub running: f64,
+    /// Concurrently running requests over all groups.
+    pub running_requests: f64,
     /// Regions.
     pub regions: f64,
     /// Tenants.
     pub tenants: f64,
-    /// Requests a second.
-    pub requests: f64,
-    /// Changes of the configuration a day.
-    pub changes: f64,
-    /// Callers that ask for addresses; assumed, since the aim does not say.
+    /// Requests per second.
+    pub requests_per_s: f64,
+    /// Configuration changes per day.
+    pub config_changes_per_day: f64,
+    /// Callers that query addresses; an assumption, not part of the design size.
     pub callers: f64,
-    /// Share of requests that run at most once; assumed, since the aim does not say.
-    pub claimed: f64,
-    /// Requests that wait at one node at the peak; assumed.
-    pub waiting: f64,
+    /// Share of at-most-once requests; an assumption, not part of the design size.
+    pub at_most_once_share: f64,
+    /// Requests queued at one node at peak load; an assumption.
+    pub queued_requests: f64,
 }
 
 impl Size {
-    /// The size aimed at.
-    pub const AIM: Size = Size {
+    /// The size that the system is designed for.
+    pub const DESIGN: Size = Size {
         nodes: 370.0,
         hosts: 880.0,
         groups: 110.0,
         hosts_per_group: 8.0,
         failure_domains: 6.0,
-        running: 880.0,
+        running_requests: 880.0,
         regions: 3.0,
         tenants: 100.0,
-        requests: 5_200.0,
-        changes: 2_100.0,
+        requests_per_s: 5_200.0,
+        config_changes_per_day: 2_100.0,
         callers: 5_200.0,
-        claimed: 0.05,
-        waiting: 200.0,
+        at_most_once_share: 0.05,
+        queued_requests: 200.0,
     };
 
     /// Groups that one node watches, on average.
     pub fn watched(&self) -> f64 {
-        self.groups * WATCHERS / self.nodes
+        self.groups * WATCHERS_PER_GROUP / self.nodes
     }
 
-    /// Nodes that read the table often.
+    /// Nodes that read the table at each round.
     pub fn readers(&self) -> f64 {
-        (self.failure_domains * READERS).min(self.nodes)
+        (self.failure_domains * READERS_PER_DOMAIN).min(self.nodes)
     }
 
-    /// Nodes that one entry asks for slots: each group's first watcher, chosen by hashing.
+    /// Expected number of nodes from which one entry host requests slots: the first watchers of all
+    /// groups, chosen by hashing.
     pub fn issuers(&self) -> f64 {
-        let spared = (1.0 - 1.0 / self.nodes).powf(self.groups);
-        self.nodes * (1.0 - spared)
+        let unused = (1.0 - 1.0 / self.nodes).powf(self.groups);
+        self.nodes * (1.0 - unused)
     }
 }
 
-/// What a node may spend on control.
+/// Upper limit of a node's resource usage for the control plane.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// Share of a core.
-    pub core: f64,
+    /// CPU usage in cores.
+    pub cores: f64,
     /// Bytes of memory.
-    pub state: f64,
-    /// Bytes a second, both ways.
-    pub bytes: f64,
+    pub memory_bytes: f64,
+    /// Bytes per second, both directions.
+    pub bytes_per_s: f64,
 }
 
 impl Budget {
-    /// The budget of the aim.
-    pub const AIM: Budget = Budget {
-        core: 0.027,
-        state: 32.0 * 1024.0 * 1024.0,
-        bytes: 16.0 * 1024.0,
+    /// The budget at the design size.
+    pub const DESIGN: Budget = Budget {
+        cores: 0.027,
+        memory_bytes: 32.0 * 1024.0 * 1024.0,
+        bytes_per_s: 16.0 * 1024.0,
     };
 }
 
 value! { copy
     /// A role of a node.
     pub enum Role {
-        /// Handing soft state on.
+        /// Disseminates soft state.
         Dissemination,
-        /// Probing the groups that it watches.
+        /// Probes the groups that it watches.
         Watcher,
-        /// Working out which groups may serve.
+        /// Determines which groups may receive requests.
         Evidence,
-        /// Keeping its lease.
+        /// Renews its lease.
         Lease,
-        /// Reading the table and the host list now and then.
-        SeldomReader,
-        /// Reading them at each round; a few nodes of each failure domain.
+        /// Reads the table and the host list infrequently.
+        InfrequentReader,
+        /// Reads them at each round; a few nodes per failure domain.
         Reader,
-        /// Seeing to lapsed leases; a few readers of each region.
-        Contender,
-        /// Planning a region; one node of each.
+        /// Handles expired leases; a few readers per region.
+        TakeoverCandidate,
+        /// Plans a region; one node per region.
         Planner,
-        /// Asking for slots of all groups, and giving out those of its own.
+        /// Requests slots of all groups, and grants those of the groups that it watches first.
         Quotas,
-        /// Admitting requests and picking groups.
+        /// Admits requests and picks groups.
         Entry,
-        /// Answering which entries to use.
+        /// Answers queries for entry host addresses.
         Addresses,
-        /// Claiming requests that run at most once.
+        /// Claims at-most-once requests.
         Claims,
-        /// Keeping events.
-        TimeLine,
+        /// Keeps events.
+        Timeline,
     }
 }
 
-/// What a role needs at one node, each a second where it is a rate.
+/// Resource usage of a role at one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
     /// Bytes of memory.
-    pub state: f64,
-    /// Messages sent and received.
-    pub messages: f64,
-    /// Bytes sent and received.
-    pub bytes: f64,
-    /// Share of a core.
-    pub core: f64,
-    /// Table reads.
-    pub reads: f64,
-    /// Table writes.
-    pub writes: f64,
+    pub memory_bytes: f64,
+    /// Messages sent and received per second.
+    pub messages_per_s: f64,
+    /// Bytes sent and received per second.
+    pub bytes_per_s: f64,
+    /// CPU usage in cores.
+    pub cores: f64,
+    /// Table reads per second.
+    pub reads_per_s: f64,
+    /// Table writes per second.
+    pub writes_per_s: f64,
 }
 
 impl Role {
@@ -189,69 +189,69 @@
         Role::Watcher,
         Role::Evidence,
         Role::Lease,
-        Role::SeldomReader,
+        Role::InfrequentReader,
         Role::Quotas,
         Role::Entry,
         Role::Addresses,
         Role::Claims,
-        Role::TimeLine,
+        Role::Timeline,
         Role::Reader,
-        Role::Contender,
+        Role::TakeoverCandidate,
         Role::Planner,
     ];
 
-    /// Its name in the page.
+    /// Its name on the capacity page.
     pub fn name(self) -> &'static str {
         match self {
             Role::Dissemination => "dissemination",
             Role::Watcher => "watcher",
             Role::Evidence => "evidence",
             Role::Lease => "lease",
-            Role::SeldomReader => "seldom reader",
+            Role::InfrequentReader => "seldom reader",
             Role::Reader => "reader",
-            Role::Contender => "contender",
+            Role::TakeoverCandidate => "contender",
             Role::Quotas => "quotas",
             Role::Planner => "planner",
             Role::Entry => "entry",
             Role::Addresses => "addresses",
             Role::Claims => "claims",
-            Role::TimeLine => "time line",
+            Role::Timeline => "time line",
         }
     }
 
-    /// Whether every node has it.
+    /// Whether every node has this role.
     ///
-    /// A planner is one node of a region. A reader reads often in place of seldom. A
-    /// contender is a reader.
+    /// Each region has one planner. A reader replaces the infrequent reader at its node. Takeover
+    /// candidates are readers.
     pub fn is_everywhere(self) -> bool {
-        !matches!(self, Role::Planner | Role::Reader | Role::Contender)
+        !matches!(self, Role::Planner | Role::Reader | Role::TakeoverCandidate)
     }
 
-    /// What it needs at one node.
+    /// Its resource usage at one node.
     pub fn usage(self, size: &Size, inputs: &Inputs) -> Usage {
         match self {
             Role::Dissemination => dissemination(size, inputs),
             Role::Watcher => watcher(size, inputs),
             Role::Evidence => Usage {
-                state: inputs.evidence_state.at(size.groups),
-                core: PULSES * inputs.pulse_core.at(size.groups),
+                memory_bytes: inputs.evidence_state.at(size.groups),
+                cores: CANDIDATE_UPDATES_PER_S * inputs.pulse_core.at(size.groups),
                 ..Usage::default()
             },
             Role::Lease => Usage {
-                messages: 2.0 * RENEWALS,
-                bytes: RENEWALS * inputs.node_row.at(1.0),
-                writes: RENEWALS,
+                messages_per_s: 2.0 * LEASE_RENEWALS_PER_S,
+                bytes_per_s: LEASE_RENEWALS_PER_S * inputs.node_row.at(1.0),
+                writes_per_s: LEASE_RENEWALS_PER_S,
                 ..Usage::default()
             },
-            Role::SeldomReader => seldom_reader(size, inputs),
+            Role::InfrequentReader => infrequent_reader(size, inputs),
             Role::Reader => reader(size, inputs),
-            Role::Contender => contender(size, inputs),
+            Role::TakeoverCandidate => takeover_candidate(size, inputs),
             Role::Quotas => quotas(size, inputs),
             Role::Planner => planner(size, inputs),
             Role::Entry => entry(size, inputs),
             Role::Addresses => addresses(size, inputs),
             Role::Claims => claims(size, inputs),
-            Role::TimeLine => time_line(size, inputs),
+            Role::Timeline => timeline(size, inputs),
         }
     }
 }
@@ -259,36 +259,36 @@
 fn dissemination(size: &Size, inputs: &Inputs) -> Usage {
     let calls = inputs.spread_calls.at(size.nodes);
     Usage {
-        state: inputs.spread_state.at(size.nodes)
+        memory_bytes: inputs.spread_state.at(size.nodes)
             + size.groups * inputs.group_item.at(size.hosts_per_group),
-        // Each node makes and answers as many calls; a call is two messages.
-        messages: 4.0 * calls,
-        bytes: inputs.spread_bytes.at(size.nodes) + 2.0 * calls * inputs.call_bytes.at(1.0),
-        core: inputs.spread_core.at(size.nodes) + calls * inputs.call_core.at(1.0),
+        // Each node answers as many calls as it makes; a call is two messages.
+        messages_per_s: 4.0 * calls,
+        bytes_per_s: inputs.spread_bytes.at(size.nodes) + 2.0 * calls * inputs.call_bytes.at(1.0),
+        cores: inputs.spread_core.at(size.nodes) + calls * inputs.call_core.at(1.0),
         ..Usage::default()
     }
 }
 
 fn watcher(size: &Size, inputs: &Inputs) -> Usage {
     let hosts = size.hosts_per_group;
-    let probes = size.watched() * hosts * PROBES;
+    let probes = size.watched() * hosts * PROBES_PER_S;
     Usage {
-        state: size.watched() * inputs.watch_state.at(hosts),
-        messages: 2.0 * probes,
-        bytes: probes * inputs.probe_bytes.at(hosts),
-        core: probes * inputs.probe_core.at(hosts)
-            + size.watched() * FINDINGS * inputs.judge_core.at(hosts)
+        memory_bytes: size.watched() * inputs.watch_state.at(hosts),
+        messages_per_s: 2.0 * probes,
+        bytes_per_s: probes * inputs.probe_bytes.at(hosts),
+        cores: probes * inputs.probe_core.at(hosts)
+            + size.watched() * HEALTH_REPORTS_PER_S * inputs.judge_core.at(hosts)
             + choices(size) * inputs.watchers_core.at(size.nodes),
         ..Usage::default()
     }
 }
 
-/// Bytes of all that a node reads in a round.
+/// Bytes that a node reads in a round.
 struct Round {
     nodes: f64,
     groups: f64,
     hosts: f64,
-    /// The head of the configuration and the region's planner row.
+    /// The configuration's head row and the region's planner row.
     small: f64,
 }
 
@@ -307,154 +307,157 @@
     }
 }
 
-fn seldom_reader(size: &Size, inputs: &Inputs) -> Usage {
+fn infrequent_reader(size: &Size, inputs: &Inputs) -> Usage {
     let round = Round::new(size, inputs).sum();
     Usage {
-        // One copy of what was read, counted as it travels.
-        state: round,
+        // One copy of the data read, counted at its encoded size.
+        memory_bytes: round,
         // Two rows and two ranges of the table, and the host list.
-        messages: 2.0 * 5.0 * SELDOM_ROUNDS,
-        bytes: SELDOM_ROUNDS * round,
-        reads: 4.0 * SELDOM_ROUNDS,
+        messages_per_s: 2.0 * 5.0 * INFREQUENT_ROUNDS_PER_S,
+        bytes_per_s: INFREQUENT_ROUNDS_PER_S * round,
+        reads_per_s: 4.0 * INFREQUENT_ROUNDS_PER_S,
         ..Usage::default()
     }
 }
 
-/// Choices of watchers a second: all groups' when a node goes and when it comes.
+/// Watcher selections per second: for all groups whenever a node leaves or joins.
 fn choices(size: &Size) -> f64 {
-    2.0 * size.groups * NODE_RESTARTS / DAY
+    2.0 * size.groups * NODE_RESTARTS_PER_DAY / SECONDS_PER_DAY
 }
 
 fn reader(size: &Size, inputs: &Inputs) -> Usage {
     let round = Round::new(size, inputs);
-    let texts = size.changes / DAY;
-    // The readers of a domain take turns at the ranges.
-    let turns = ROUNDS / READERS;
+    let texts = size.config_changes_per_day / SECONDS_PER_DAY;
+    // The readers of a domain take turns reading the ranges.
+    let turns = ROUNDS_PER_S / READERS_PER_DOMAIN;
     Usage {
-        state: round.sum(),
-        messages: 2.0 * (2.0 * ROUNDS + 3.0 * turns),
-        bytes: ROUNDS * round.small
+        memory_bytes: round.sum(),
+        messages_per_s: 2.0 * (2.0 * ROUNDS_PER_S + 3.0 * turns),
+        bytes_per_s: ROUNDS_PER_S * round.small
             + turns * (round.nodes + round.groups + round.hosts)
             + texts * inputs.config_row.at(size.groups),
-        reads: 2.0 * ROUNDS + 2.0 * turns + texts,
+        reads_per_s: 2.0 * ROUNDS_PER_S + 2.0 * turns + texts,
         ..Usage::default()
     }
 }
 
-/// What comes on top of a reader's: node rows at the rounds in which it has no turn.
-fn contender(size: &Size, inputs: &Inputs) -> Usage {
-    let more = ROUNDS - ROUNDS / READERS;
+/// Usage in addition to a reader's: node rows at the rounds in which it has no turn.
+fn takeover_candidate(size: &Size, inputs: &Inputs) -> Usage {
+    let more = ROUNDS_PER_S - ROUNDS_PER_S / READERS_PER_DOMAIN;
     Usage {
-        messages: 2.0 * more,
-        bytes: more * size.nodes * inputs.node_row.at(1.0),
-        reads: more,
+        messages_per_s: 2.0 * more,
+        bytes_per_s: more * size.nodes * inputs.node_row.at(1.0),
+        reads_per_s: more,
         ..Usage::default()
     }
 }
 
 fn planner(size: &Size, inputs: &Inputs) -> Usage {
     let groups = size.groups / size.regions;
-    let probes = size.hosts / size.regions * PLANNER_PROBES;
-    // The rows of all regions are read, since the keys do not name the region.
+    let probes = size.hosts / size.regions * PLANNER_PROBES_PER_S;
+    // The rows of all regions are read, since the keys don't contain the region.
     let scan = size.hosts * inputs.host_row.at(1.0)
         + size.groups * inputs.group_row.at(size.hosts_per_group);
-    let reads = ROUNDS + 2.0 * PLANNER_SCANS;
+    let reads_per_s = ROUNDS_PER_S + 2.0 * PLANNER_SCANS_PER_S;
     Usage {
-        state: inputs.plan_state.at(groups),
-        messages: 2.0 * (reads + probes),
-        bytes: ROUNDS * inputs.planner_row.at(1.0)
-            + PLANNER_SCANS * scan
+        memory_bytes: inputs.plan_state.at(groups),
+        messages_per_s: 2.0 * (reads_per_s + probes),
+        bytes_per_s: ROUNDS_PER_S * inputs.planner_row.at(1.0)
+            + PLANNER_SCANS_PER_S * scan
             + probes * inputs.probe_bytes.at(size.hosts_per_group),
-        core: ROUNDS * inputs.plan_core.at(groups)
+        cores: ROUNDS_PER_S * inputs.plan_core.at(groups)
             + probes * inputs.probe_core.at(size.hosts_per_group),
-        reads,
+        reads_per_s,
         ..Usage::default()
     }
 }
 
-/// Every entry asks for every group; a node answers as many demands as it makes.
+/// Every entry host sends demands for every group; a node answers as many as it sends.
 fn quotas(size: &Size, inputs: &Inputs) -> Usage {
-    let busy = (size.running / size.nodes).min(size.groups) * (BUSY_DEMANDS - IDLE_DEMANDS);
-    let calls = size.issuers() * IDLE_DEMANDS + busy;
-    let demands = size.groups * IDLE_DEMANDS + busy;
+    let busy = (size.running_requests / size.nodes).min(size.groups)
+        * (BUSY_DEMANDS_PER_S - IDLE_DEMANDS_PER_S);
+    let calls = size.issuers() * IDLE_DEMANDS_PER_S + busy;
+    let demands = size.groups * IDLE_DEMANDS_PER_S + busy;
     Usage {
-        messages: 4.0 * calls,
-        bytes: 2.0 * (calls * inputs.call_bytes.at(1.0) + demands * inputs.quota_demand.at(1.0)),
-        core: calls * inputs.call_core.at(1.0) + demands * inputs.issue_core.at(size.nodes),
+        messages_per_s: 4.0 * calls,
+        bytes_per_s: 2.0
+            * (calls * inputs.call_bytes.at(1.0) + demands * inputs.quota_demand.at(1.0)),
+        cores: calls * inputs.call_core.at(1.0) + demands * inputs.issue_core.at(size.nodes),
         ..Usage::default()
     }
 }
 
 fn entry(size: &Size, inputs: &Inputs) -> Usage {
-    let requests = size.requests / size.nodes;
+    let requests = size.requests_per_s / size.nodes;
     let each = inputs.admit_core.at(size.tenants) + inputs.pick_core.at(size.groups);
     Usage {
-        state: inputs.waiting_state.at(size.waiting),
-        core: requests * each,
+        memory_bytes: inputs.waiting_state.at(size.queued_requests),
+        cores: requests * each,
         ..Usage::default()
     }
 }
 
 fn addresses(size: &Size, inputs: &Inputs) -> Usage {
-    let answers = size.callers / ADDRESS_TERM / size.nodes;
+    let answers = size.callers / ADDRESS_TTL_S / size.nodes;
     Usage {
-        messages: 2.0 * answers,
-        core: answers * inputs.address_core.at(size.nodes),
+        messages_per_s: 2.0 * answers,
+        cores: answers * inputs.address_core.at(size.nodes),
         ..Usage::default()
     }
 }
 
 fn claims(size: &Size, inputs: &Inputs) -> Usage {
-    let writes = size.requests * size.claimed * CLAIM_WRITES / size.nodes;
+    let writes_per_s =
+        size.requests_per_s * size.at_most_once_share * WRITES_PER_CLAIM / size.nodes;
     Usage {
-        messages: 2.0 * writes,
-        bytes: writes * inputs.claim_row.at(1.0),
-        reads: ERA_READS,
-        writes,
+        messages_per_s: 2.0 * writes_per_s,
+        bytes_per_s: writes_per_s * inputs.claim_row.at(1.0),
+        reads_per_s: ERA_READS_PER_S,
+        writes_per_s,
         ..Usage::default()
     }
 }
 
-fn time_line(size: &Size, inputs: &Inputs) -> Usage {
-    let events = size.requests / size.nodes * REQUEST_EVENTS;
+fn timeline(size: &Size, inputs: &Inputs) -> Usage {
+    let events = size.requests_per_s / size.nodes * EVENTS_PER_REQUEST;
     Usage {
-        state: inputs.event_state.at(KEPT_EVENTS),
-        core: events * inputs.event_core.at(1.0),
+        memory_bytes: inputs.event_state.at(MAX_REQUEST_EVENTS),
+        cores: events * inputs.event_core.at(1.0),
         ..Usage::default()
     }
 }
 
-/// What a node needs that is neither planner nor reader.
+/// Total usage of a node that is neither planner nor reader.
 pub fn total(size: &Size, inputs: &Inputs) -> Usage {
     let roles = Role::ALL.into_iter().filter(|role| role.is_everywhere());
     roles.fold(Usage::default(), |sum, role| {
         let usage = role.usage(size, inputs);
         Usage {
-            state: sum.state + usage.state,
-            messages: sum.messages + usage.messages,
-            bytes: sum.bytes + usage.bytes,
-            core: sum.core + usage.core,
-            reads: sum.reads + usage.reads,
-            writes: sum.writes + usage.writes,
+            memory_bytes: sum.memory_bytes + usage.memory_bytes,
+            messages_per_s: sum.messages_per_s + usage.messages_per_s,
+            bytes_per_s: sum.bytes_per_s + usage.bytes_per_s,
+            cores: sum.cores + usage.cores,
+            reads_per_s: sum.reads_per_s + usage.reads_per_s,
+            writes_per_s: sum.writes_per_s + usage.writes_per_s,
         }
     })
 }
 
-/// What all nodes together ask of the table service: reads and writes a second.
+/// Reads and writes per second of the table service by all nodes together.
 pub fn store_load(size: &Size, inputs: &Inputs) -> (f64, f64) {
-    let everywhere = total(size, inputs);
+    let per_node = total(size, inputs);
     let planner = Role::Planner.usage(size, inputs);
-    let contender = Role::Contender.usage(size, inputs).reads;
-    let often = Role::Reader.usage(size, inputs).reads;
-    let seldom = Role::SeldomReader.usage(size, inputs).reads;
-    let reads = size.nodes * everywhere.reads
-        + size.readers() * (often - seldom)
-        + size.regions * (planner.reads + CONTENDERS * contender);
-    let changes = size.changes / DAY;
-    (reads, size.nodes * everywhere.writes + changes)
+    let candidate = Role::TakeoverCandidate.usage(size, inputs).reads_per_s;
+    let frequent = Role::Reader.usage(size, inputs).reads_per_s;
+    let infrequent = Role::InfrequentReader.usage(size, inputs).reads_per_s;
+    let reads = size.nodes * per_node.reads_per_s
+        + size.readers() * (frequent - infrequent)
+        + size.regions * (planner.reads_per_s + TAKEOVER_CANDIDATES_PER_REGION * candidate);
+    let changes = size.config_changes_per_day / SECONDS_PER_DAY;
+    (reads, size.nodes * per_node.writes_per_s + changes)
 }
 
-/// The totals as the page has them.
+/// The table of totals on the capacity page.
 pub fn table(size: &Size, inputs: &Inputs) -> String {
     let mut out = String::new();
     let head = "| role | state, KB | messages/s | bytes/s | core, % | reads/s | writes/s |";
@@ -469,9 +472,9 @@
         &total(size, inputs),
     );
     let budget = Usage {
-        state: Budget::AIM.state,
-        bytes: Budget::AIM.bytes,
-        core: Budget::AIM.core,
+        memory_bytes: Budget::DESIGN.memory_bytes,
+        bytes_per_s: Budget::DESIGN.bytes_per_s,
+        cores: Budget::DESIGN.cores,
         ..Usage::default()
     };
     row(&mut out, "**budget**", &budget);
@@ -487,11 +490,11 @@
     let _ = writeln!(
         out,
         "| {name} | {:.1} | {:.1} | {:.0} | {:.3} | {:.2} | {:.2} |",
-        usage.state / 1024.0,
-        usage.messages,
-        usage.bytes,
-        usage.core * 100.0,
-        usage.reads,
-        usage.writes,
+        usage.memory_bytes / 1024.0,
+        usage.messages_per_s,
+        usage.bytes_per_s,
+        usage.cores * 100.0,
+        usage.reads_per_s,
+        usage.writes_per_s,
     );
 }
--- a/crates/peer/tests/capacity.rs
+++ b/crates/peer/tests/capacity.rs
@@ -1,6 +1,6 @@
 //! The arithmetic of the capacity page, and the page against it.
 
-use eelgrassmill_peer::capacity::{Inputs, Line, Role, Size, store_load, table, total};
+use eelgrassmill_peer::capacity::{Inputs, LinearCost, Role, Size, store_load, table, total};
 use googletest::prelude::*;
 
 fn page() -> String {
@@ -8,30 +8,36 @@
     std::fs::read_to_string(path).expect("the page is there")
 }
 
-fn constant(fixed: f64) -> Line {
-    Line { fixed, each: 0.0 }
+fn constant(fixed: f64) -> LinearCost {
+    LinearCost {
+        fixed,
+        per_unit: 0.0,
+    }
 }
 
-fn slope(each: f64) -> Line {
-    Line { fixed: 0.0, each }
+fn slope(per_unit: f64) -> LinearCost {
+    LinearCost {
+        fixed: 0.0,
+        per_unit,
+    }
 }
 
 #[gtest]
 fn a_line_goes_through_points_that_lie_on_one() {
-    let line = Line::through(&[(10.0, 25.0), (20.0, 45.0), (40.0, 85.0)]);
+    let line = LinearCost::fit(&[(10.0, 25.0), (20.0, 45.0), (40.0, 85.0)]);
     expect_that!(line.fixed, near(5.0, 1e-9));
-    expect_that!(line.each, near(2.0, 1e-9));
+    expect_that!(line.per_unit, near(2.0, 1e-9));
     expect_that!(line.at(100.0), near(205.0, 1e-9));
-    expect_that!(Line::through(&[(7.0, 3.0)]).at(99.0), near(3.0, 1e-9));
+    expect_that!(LinearCost::fit(&[(7.0, 3.0)]).at(99.0), near(3.0, 1e-9));
 }
 
 #[gtest]
 fn inputs_are_read_as_they_are_printed() {
     let inputs = Inputs {
         node_row: constant(331.0),
-        plan_core: Line {
+        plan_core: LinearCost {
             fixed: -4.5e-5,
-            each: 5.125e-6,
+            per_unit: 5.125e-6,
         },
         ..Inputs::default()
     };
@@ -53,22 +59,22 @@
         quota_demand: constant(50.0),
         ..Inputs::default()
     };
-    let size = Size::AIM;
+    let size = Size::DESIGN;
     // 110 groups with 3 watchers over 370 nodes; 8 hosts of each probed twice a second.
     let probes = 110.0 * 3.0 / 370.0 * 8.0 * 2.0;
     let watcher = Role::Watcher.usage(&size, &inputs);
-    expect_that!(watcher.bytes, near(probes * 400.0, 1e-6));
-    expect_that!(watcher.messages, near(2.0 * probes, 1e-6));
+    expect_that!(watcher.bytes_per_s, near(probes * 400.0, 1e-6));
+    expect_that!(watcher.messages_per_s, near(2.0 * probes, 1e-6));
     let spread = Role::Dissemination.usage(&size, &inputs);
-    expect_that!(spread.bytes, near(3_700.0 + 2.0 * 20.0 * 100.0, 1e-6));
+    expect_that!(spread.bytes_per_s, near(3_700.0 + 2.0 * 20.0 * 100.0, 1e-6));
     let reader = Role::Reader.usage(&size, &inputs);
     // Four readers of a domain take turns twice a second; a contender reads node rows
     // in the other rounds as well.
-    expect_that!(reader.bytes, near(0.5 * 370.0 * 300.0, 1e-6));
-    let contender = Role::Contender.usage(&size, &inputs);
-    expect_that!(contender.bytes, near(1.5 * 370.0 * 300.0, 1e-6));
-    let seldom = Role::SeldomReader.usage(&size, &inputs);
-    expect_that!(seldom.bytes, near(0.1 * 370.0 * 300.0, 1e-6));
+    expect_that!(reader.bytes_per_s, near(0.5 * 370.0 * 300.0, 1e-6));
+    let contender = Role::TakeoverCandidate.usage(&size, &inputs);
+    expect_that!(contender.bytes_per_s, near(1.5 * 370.0 * 300.0, 1e-6));
+    let seldom = Role::InfrequentReader.usage(&size, &inputs);
+    expect_that!(seldom.bytes_per_s, near(0.1 * 370.0 * 300.0, 1e-6));
     // Each of 110 groups has its issuer among 370 nodes, some of them the same. A node
     // asks four times in three seconds, and four times a second where it runs something:
     // at 880 groups over all nodes. It answers as many calls as it makes.
@@ -77,17 +83,17 @@
     let calls = issuers * 4.0 / 3.0 + busy;
     let demands = 110.0 * 4.0 / 3.0 + busy;
     let quotas = Role::Quotas.usage(&size, &inputs);
-    expect_that!(quotas.messages, near(4.0 * calls, 1e-6));
+    expect_that!(quotas.messages_per_s, near(4.0 * calls, 1e-6));
     expect_that!(
-        quotas.bytes,
+        quotas.bytes_per_s,
         near(2.0 * (calls * 100.0 + demands * 50.0), 1e-6)
     );
     let sum: f64 = Role::ALL
         .iter()
         .filter(|role| role.is_everywhere())
-        .map(|role| role.usage(&size, &inputs).bytes)
+        .map(|role| role.usage(&size, &inputs).bytes_per_s)
         .sum();
-    expect_that!(total(&size, &inputs).bytes, near(sum, 1e-6));
+    expect_that!(total(&size, &inputs).bytes_per_s, near(sum, 1e-6));
     let (reads, writes) = store_load(&size, &inputs);
     // Two rows in each of two rounds and two ranges each two seconds at four readers of
     // each of six failure domains, who also read 2,100 texts a day; all four once in ten
@@ -110,6 +116,6 @@
 fn the_page_s_totals_follow_from_the_page_s_inputs() {
     let page = page();
     let inputs = Inputs::parse(&page).expect("the page has all inputs");
-    let totals = table(&Size::AIM, &inputs);
+    let totals = table(&Size::DESIGN, &inputs);
     expect_that!(page, contains_substring(totals.trim()));
 }
