--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -1,10 +1,9 @@
-//! The protocol between nodes: membership, dissemination, quotas and events, over tonic.
+//! The protocol between nodes: membership, dissemination, quotas and events, over gRPC.
 //!
-//! [`Dissemination`] is the pure state machine: what is known of whom, and who is
-//! told what next. [`PeerNode`] gives it a clock, a server and connections.
+//! [`Dissemination`] is the pure state machine: the state held of each node, and what
+//! to send next. [`PeerNode`] adds the clock, the server and the connections.
 
 mod blocked_peers;
-mod calls;
 pub mod capacity;
 mod config_text;
 mod delay;
@@ -14,6 +13,7 @@
 mod meter;
 mod node;
 mod overlay;
+mod service;
 mod wire;
 
 pub use crate::blocked_peers::BlockedPeers;
@@ -25,13 +25,13 @@
 pub use crate::item::{
     Change, ConfigAnnouncement, GroupLoad, GroupRecord, HealthReport, Item, ItemKey, LeavingTarget,
     MAX_GROUP_RECORD_BYTES, MAX_SUSPECT_RECORD_BYTES, MAX_TEXT_BYTES, NodeLoad, NodeStatus,
-    Suspect, TenantUsage, Update,
+    Suspect, Update, UsageReport,
 };
 pub use crate::meter::Traffic;
 pub use crate::node::{HlcTimestamp, PeerHandler, PeerNode, PeerNodeConfig};
-pub use crate::overlay::{FAN_OUT, MESH_LIMIT, Overlay};
+pub use crate::overlay::{FAN_OUT, MAX_MESH_NODES, Overlay};
 pub use crate::wire::messages::{
-    Batch, Item as WireItem, Kind as WireKind, ListReply, ListRequest, OriginUpdate, QuotaDemand,
-    QuotaGrant, QuotaReply, QuotaRequest, ScheduleReply, ScheduleRequest, SlotDecision, SlotEvent,
-    SlotEventKind, SlotRequest,
+    Batch, Item as WireItem, Kind as WireKind, ListReply, ListRequest, OriginUpdate, QuotaReply,
+    QuotaRequest, ScheduleReply, ScheduleRequest, SlotDecision, SlotDemand, SlotEvent,
+    SlotEventKind, SlotGrant, SlotRequest,
 };
