--- a/crates/group/examples/repair/sim.rs
+++ b/crates/group/examples/repair/sim.rs
@@ -461,7 +461,7 @@
         }
         let known: Vec<GroupId> = self.view.groups.keys().cloned().collect();
         for gone in known.iter().filter(|g| !groups.contains(*g)) {
-            self.view.on_group_gone(gone);
+            self.view.on_group_removed(gone);
             self.watches.remove(gone);
         }
     }
--- a/crates/group/src/evidence/store.rs
+++ b/crates/group/src/evidence/store.rs
@@ -321,7 +321,7 @@
             let Verdict::Missing { host, reason } = &finding.verdict else {
                 continue;
             };
-            let grace = if reason.is_positive() {
+            let grace = if reason.is_reported() {
                 Duration::ZERO
             } else {
                 SILENCE_GRACE
--- a/crates/group/src/evidence/verdict.rs
+++ b/crates/group/src/evidence/verdict.rs
@@ -43,7 +43,7 @@
 
 impl MissingReason {
     /// Whether the host itself reported the reason, rather than it being inferred from silence.
-    pub fn is_positive(self) -> bool {
+    pub fn is_reported(self) -> bool {
         self != MissingReason::Silent
     }
 }
--- a/crates/group/src/lease/takeover.rs
+++ b/crates/group/src/lease/takeover.rs
@@ -54,7 +54,7 @@
 pub fn takeover(
     own: &NodeRow,
     own_version: RowVersion,
-    seen: &ObservedPlanner,
+    observed: &ObservedPlanner,
     observer: &LeaseObserver,
 ) -> Result<Takeover, TakeoverError> {
     if own.state == NodeState::Leaving {
@@ -63,7 +63,7 @@
     let planner = planner_key(&own.region);
     let base = Transaction::new().expect(node_key(&own.node), own_version);
     let timing = observer.timing();
-    let (transaction, quiet_period) = match &seen.planner {
+    let (transaction, quiet_period) = match &observed.planner {
         // A planner that resigns does so after its last order was acknowledged or failed.
         None => (base.expect(planner.clone(), 0), timing.order_transit),
         Some((row, _)) if row.node == own.node && row.incarnation == own.incarnation => {
@@ -71,7 +71,7 @@
         }
         Some((row, version)) => {
             let base = base.expect(planner.clone(), *version);
-            replace_holder(base, own, row, seen.holder.as_ref(), observer)?
+            replace_holder(base, own, row, observed.holder.as_ref(), observer)?
         }
     };
     let value = RowValue::Planner(PlannerRow {
--- a/crates/group/src/plan/form.rs
+++ b/crates/group/src/plan/form.rs
@@ -282,8 +282,8 @@
     let mut hosts: Vec<&HostStatus> = domains.into_iter().flatten().copied().collect();
     sort_by_warmth(&mut hosts, service);
     hosts.truncate(size);
-    let settled = hosts.iter().all(|h| since(h.first_seen));
-    (hosts.len() == size && settled).then_some(hosts)
+    let stable = hosts.iter().all(|h| since(h.first_seen));
+    (hosts.len() == size && stable).then_some(hosts)
 }
 
 /// The group name with the lowest free index that belongs to this region.
--- a/crates/group/src/plan/merge.rs
+++ b/crates/group/src/plan/merge.rs
@@ -27,7 +27,7 @@
     service_index: usize,
     index: usize,
     /// Number of healthy members.
-    fit: usize,
+    healthy: usize,
 }
 
 /// Merges the hosts of broken groups into fewer whole groups.
@@ -55,12 +55,12 @@
                 && (!may_recover(group) || wait_is_over(round, group, Recovery::Reusable, cost))
             {
                 let lost = group.faults.len();
-                let fit = group.status.row.members.len() - lost;
+                let healthy = group.status.row.members.len() - lost;
                 found.push(Stuck {
                     lost,
                     service_index,
                     index,
-                    fit,
+                    healthy,
                 });
             }
         }
@@ -77,7 +77,7 @@
         }
         let donor = (position + 1..stuck.len()).rev().find(|other| {
             let donor = &stuck[*other];
-            let left = donor.fit - donated.get(other).copied().unwrap_or(0);
+            let left = donor.healthy - donated.get(other).copied().unwrap_or(0);
             let usable = donated.contains_key(other) || is_stuck(group_of(round, donor));
             usable && left >= receiver.lost && is_within(round, receiver, donor, distance)
         });
--- a/crates/group/src/plan/retire.rs
+++ b/crates/group/src/plan/retire.rs
@@ -129,8 +129,8 @@
             }
             // Ending a group that can't recover costs no capacity, so the floor doesn't apply.
             let propagated_loss = usize::from(group.is_propagated());
-            let kept = group.is_serving() || may_resume(round, group);
-            if kept && propagated - propagated_loss < service.cfg.floor as usize {
+            let expected_to_serve = group.is_serving() || may_resume(round, group);
+            if expected_to_serve && propagated - propagated_loss < service.cfg.floor as usize {
                 continue;
             }
             let status = group.status;
--- a/crates/group/src/plan/round.rs
+++ b/crates/group/src/plan/round.rs
@@ -104,9 +104,9 @@
         if let Some((_, index)) = parse_group_id(&row.group) {
             self.formed.push((service_index, index));
         }
-        let again = |g: &&mut Group<'_>| g.status.row.group == row.group;
+        let reformed = |g: &&mut Group<'_>| g.status.row.group == row.group;
         let state = &mut self.services[service_index];
-        match state.groups.iter_mut().find(again) {
+        match state.groups.iter_mut().find(reformed) {
             Some(group) => group.recovering = true,
             None => state.formed_this_round += 1,
         }
@@ -356,8 +356,8 @@
             return Some(MemberFault::Delisted);
         };
         if host.silent_for(self.now) > self.policy.detection_timeout {
-            let gone = host.entry.is_none();
-            return Some(if gone {
+            let delisted = host.entry.is_none();
+            return Some(if delisted {
                 MemberFault::Delisted
             } else {
                 MemberFault::Unreachable
--- a/crates/group/src/plan/view.rs
+++ b/crates/group/src/plan/view.rs
@@ -188,7 +188,7 @@
     }
 
     /// Removes a group whose row a complete scan of the group rows no longer contains.
-    pub fn on_group_gone(&mut self, group: &str) {
+    pub fn on_group_removed(&mut self, group: &str) {
         self.groups.remove(group);
     }
 
@@ -201,16 +201,16 @@
         if host.probe_sent.is_some_and(|known| known >= sent) {
             return;
         }
-        let away = host.probe_sent.map(|known| sent.duration_since(known));
+        let outage = host.probe_sent.map(|known| sent.duration_since(known));
         let known = host.report.as_ref().map(|r| r.incarnation);
-        if let Some(away) = away.filter(|away| *away > detection_timeout) {
+        if let Some(outage) = outage.filter(|outage| *outage > detection_timeout) {
             let scope = self.failure_scope(&report.host, sent);
             let recovery = if known == Some(report.incarnation) {
                 Recovery::Intact
             } else {
                 Recovery::Reusable
             };
-            self.recovery_model.record(scope, recovery, away);
+            self.recovery_model.record(scope, recovery, outage);
         }
         if let Some(host) = self.hosts.get_mut(&report.host) {
             host.probe_sent = Some(sent);
@@ -235,21 +235,21 @@
         restarted: Option<&HostId>,
         now: Instant,
     ) {
-        let Some(facts) = self.groups.get_mut(group) else {
+        let Some(status) = self.groups.get_mut(group) else {
             return;
         };
-        if facts.row.epoch != epoch {
+        if status.row.epoch != epoch {
             return;
         }
-        if facts.serving && !serving {
-            facts.down_since = now;
+        if status.serving && !serving {
+            status.down_since = now;
         }
-        if !facts.serving && serving {
-            facts.up_since = now;
+        if !status.serving && serving {
+            status.up_since = now;
         }
-        facts.serving = serving;
-        facts.served |= serving;
-        facts.restarted = restarted.cloned();
+        status.serving = serving;
+        status.served |= serving;
+        status.restarted = restarted.cloned();
     }
 
     /// Records that an order was sent.
@@ -325,8 +325,8 @@
     /// Whether the host list or the host's report marks it as leaving.
     pub fn is_leaving(&self) -> bool {
         let listed = self.entry.as_ref().map(|e| e.state);
-        let said = self.report.as_ref().is_some_and(|r| r.leaving);
-        listed == Some(HostState::Leaving) || said
+        let reported = self.report.as_ref().is_some_and(|r| r.leaving);
+        listed == Some(HostState::Leaving) || reported
     }
 
     /// Whether it holds the weights `MODEL@VERSION`.
--- a/crates/group/src/plan/warm.rs
+++ b/crates/group/src/plan/warm.rs
@@ -15,21 +15,21 @@
         return;
     }
     for (service_index, host) in std::mem::take(&mut round.warmup_requests) {
-        warm(round, service_index, host);
+        start_warmup(round, service_index, host);
     }
     if round.services.iter().any(|s| s.serving() < s.desired) {
         return;
     }
     let domains: Vec<&FabricDomain> = round.free.keys().copied().collect();
     for domain in domains {
-        warm_idle(round, domain);
+        warm_idle_spare(round, domain);
     }
 }
 
 /// Loads one idle spare of a fabric domain that holds no configured model.
 ///
 /// Idle loads use at most half of the limit, which leaves bandwidth for a repair.
-fn warm_idle(round: &mut Round<'_>, domain: &FabricDomain) {
+fn warm_idle_spare(round: &mut Round<'_>, domain: &FabricDomain) {
     if round.loading >= round.max_loads().div_ceil(2) {
         return;
     }
@@ -39,7 +39,7 @@
         return;
     };
     if let Some(service_index) = least_covered(round, domain, &free) {
-        warm(round, service_index, host);
+        start_warmup(round, service_index, host);
     }
 }
 
@@ -63,7 +63,7 @@
         .map(|(_, i)| i)
 }
 
-fn warm(round: &mut Round<'_>, service_index: usize, host: &HostStatus) {
+fn start_warmup(round: &mut Round<'_>, service_index: usize, host: &HostStatus) {
     let group = warming_group_id(round.services[service_index].name, &host.row.host);
     // The row of an earlier load is removed first.
     if round.view.groups.contains_key(&group) {
--- a/crates/group/tests/support/cluster.rs
+++ b/crates/group/tests/support/cluster.rs
@@ -465,7 +465,7 @@
             }
             let known: Vec<SmolStr> = view.groups.keys().cloned().collect();
             for group in known.iter().filter(|g| !names.contains(g)) {
-                view.on_group_gone(group);
+                view.on_group_removed(group);
             }
         }
         for host in self.hosts.keys().filter(|h| self.can_reach(n, h)) {
--- a/crates/node/src/loops/planner.rs
+++ b/crates/node/src/loops/planner.rs
@@ -272,7 +272,7 @@
         let known = view.groups.keys();
         let gone: Vec<SmolStr> = known.filter(|g| !listed.contains(*g)).cloned().collect();
         for group in gone {
-            view.on_group_gone(&group);
+            view.on_group_removed(&group);
         }
         group_rows::scanned(&self.core, groups, began);
         Ok(())
