--- a/crates/peer/examples/capacity/counting.rs
+++ b/crates/peer/examples/capacity/heap.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes that are allocated.
+//! Measures heap usage and run time.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::hint::black_box;
@@ -6,40 +6,40 @@
 use std::time::{Duration, Instant};
 
 /// Bytes allocated and not freed.
-static LIVE: AtomicI64 = AtomicI64::new(0);
+static LIVE_BYTES: AtomicI64 = AtomicI64::new(0);
 
-/// The system's allocator, counted.
-struct Counting;
+/// The system allocator with a count of live bytes.
+struct CountingAllocator;
 
 #[allow(unsafe_code)]
-// SAFETY: every call is handed on to the system's allocator unchanged.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: every call is forwarded to the system allocator unchanged.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        LIVE.fetch_add(layout.size() as i64, Ordering::Relaxed);
-        // SAFETY: the caller's promise is the one that the system's allocator asks for.
+        LIVE_BYTES.fetch_add(layout.size() as i64, Ordering::Relaxed);
+        // SAFETY: the caller upholds the contract, which is the same for the system allocator.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, ptr: *mut u8, layout: Layout) {
-        LIVE.fetch_sub(layout.size() as i64, Ordering::Relaxed);
+        LIVE_BYTES.fetch_sub(layout.size() as i64, Ordering::Relaxed);
         // SAFETY: as above.
         unsafe { System.dealloc(ptr, layout) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
-/// Bytes on the heap that what `make` gives holds.
-pub(crate) fn held_by<T>(make: impl FnOnce() -> T) -> f64 {
-    let before = LIVE.load(Ordering::Relaxed);
+/// Heap bytes held by the result of `make`.
+pub(crate) fn heap_bytes<T>(make: impl FnOnce() -> T) -> f64 {
+    let before = LIVE_BYTES.load(Ordering::Relaxed);
     let made = black_box(make());
-    let after = LIVE.load(Ordering::Relaxed);
+    let after = LIVE_BYTES.load(Ordering::Relaxed);
     drop(made);
     (after - before) as f64
 }
 
-/// Seconds of one run of `work`, the best of five series of `count`.
+/// Seconds per run of `work`: the best of five series of `count` runs.
 pub(crate) fn seconds(count: u32, mut work: impl FnMut()) -> f64 {
     let mut best = Duration::MAX;
     for _ in 0..5 {
--- a/crates/peer/examples/capacity/main.rs
+++ b/crates/peer/examples/capacity/main.rs
@@ -1,15 +1,15 @@
-//! Measures the slopes of `docs/CAPACITY.md` and prints them with the totals.
+//! Measures the costs in `docs/CAPACITY.md` and prints them with the totals.
 //!
 //! `cargo run --release -p eelgrassmill-peer --example capacity`
 //!
-//! Counts (bytes, calls) come out the same each time; times are of this machine and of
-//! its other work. `--days` plays the bad days as well, in virtual time. `--inputs FILE`
-//! measures nothing and works the totals out from the inputs in the file, such as the page.
+//! Byte and call counts are deterministic; times depend on the machine and its load.
+//! `--days` also runs the failure scenarios, in virtual time. `--inputs FILE` measures
+//! nothing and computes the totals from the inputs in a file, such as the page.
 
-mod counting;
-mod days;
+mod heap;
 mod policy;
 mod rows;
+mod scenarios;
 mod spread;
 #[path = "../../tests/support/mod.rs"]
 mod support;
@@ -17,7 +17,7 @@
 
 use eelgrassmill_peer::capacity::{Inputs, LinearCost, Size, table};
 
-/// One measurement at one size.
+/// A measurement: size and cost.
 pub(crate) type Point = (f64, f64);
 
 fn main() {
@@ -30,15 +30,15 @@
     transport::measure(&mut inputs);
     policy::measure(&mut inputs);
     rows::measure(&mut inputs);
-    println!("\ninputs: the cost at 0, and what each adds\n\n{inputs}");
-    // The totals are those of the inputs as printed, so that they can be worked out anew.
-    let inputs = Inputs::parse(&inputs.to_string()).expect("inputs as they were printed");
+    println!("\ninputs: fixed cost, and cost per unit\n\n{inputs}");
+    // Compute the totals from the inputs as printed, so that they can be reproduced.
+    let inputs = Inputs::parse(&inputs.to_string()).expect("printed inputs parse");
     println!(
-        "totals for each node at the aim\n\n{}",
+        "totals per node at the design size\n\n{}",
         table(&Size::DESIGN, &inputs)
     );
     if std::env::args().any(|arg| arg == "--days") {
-        days::play();
+        scenarios::run();
     }
 }
 
@@ -48,7 +48,7 @@
     println!("{}", table(&Size::DESIGN, &inputs));
 }
 
-/// Prints the points of a slope and gives its line.
+/// Prints the points of a cost and returns the fit.
 pub(crate) fn line(name: &str, points: &[Point]) -> LinearCost {
     print!("{name:<16}");
     for (n, cost) in points {
--- a/crates/peer/examples/capacity/policy.rs
+++ b/crates/peer/examples/capacity/policy.rs
@@ -1,4 +1,4 @@
-//! The policy crates' own code.
+//! Measures the code of the policy crates.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 use eelgrassmill_timeline::{Bounds, EventKind, EventLog};
 use smol_str::{SmolStr, format_smolstr};
 
-use crate::counting::{held_by, seconds};
+use crate::heap::{heap_bytes, seconds};
 use crate::line;
 use crate::rows::{group_row, host_entry, node_row, report_of, row_bytes};
 
-/// A tenth, a third and all of the groups of the aim.
+/// A tenth, a third and all of the groups of the design size.
 const GROUPS: [usize; 3] = [11, 37, 110];
 const HOSTS_PER_GROUP: u32 = 8;
 const SLOTS: Slots = Slots {
@@ -70,13 +70,13 @@
             black_box(watch.verdict(at));
         };
         core.push((n, seconds(2_000, one)));
-        state.push((n, held_by(|| self::watch(hosts, now))));
+        state.push((n, heap_bytes(|| self::watch(hosts, now))));
     }
     inputs.judge_core = line("judge_core", &core);
     inputs.watch_state = line("watch_state", &state);
 }
 
-/// Which nodes watch a group.
+/// Measures the selection of a group's watchers.
 fn choosing(inputs: &mut Inputs) {
     let core = [60, 185, 370].map(|nodes| {
         let rows: Vec<_> = (0..nodes).map(node_row).collect();
@@ -86,7 +86,7 @@
     inputs.watchers_core = line("watchers_core", &core);
 }
 
-/// One demand of an idle entry, where all entries have asked before.
+/// Measures one demand of an idle entry host after all have sent demands.
 fn issuing(inputs: &mut Inputs) {
     let core = [60, 185, 370].map(|nodes| {
         let names: Vec<SmolStr> = (0..nodes).map(|i| format_smolstr!("node-{i}")).collect();
@@ -152,24 +152,24 @@
     }
 }
 
-/// What the pulse does for all groups: who may serve, and the picker told of it.
+/// Measures an update of the candidates: which groups may receive requests, and the picker's update.
 fn evidence(inputs: &mut Inputs) {
     let now = Instant::now();
     let (mut state, mut core) = (Vec::new(), Vec::new());
     for groups in GROUPS {
         let n = groups as f64;
-        state.push((n, held_by(|| store(groups, now))));
+        state.push((n, heap_bytes(|| store(groups, now))));
         let store = store(groups, now);
         let names: Vec<SmolStr> = store.groups().cloned().collect();
         let mut picker = GroupPicker::new(1);
-        let pulse = || {
+        let update = || {
             let serving = names.iter().filter_map(|name| {
                 let serving = store.serving(name, now).ok()?;
                 Some(candidate(name.clone(), serving.epoch))
             });
             picker.set_candidates(serving, now);
         };
-        core.push((n, seconds(200, pulse)));
+        core.push((n, seconds(200, update)));
     }
     inputs.evidence_state = line("evidence_state", &state);
     inputs.pulse_core = line("pulse_core", &core);
@@ -201,14 +201,14 @@
     view
 }
 
-/// A calm region, and one in which a host of each tenth group is silent.
+/// Measures a plan of a healthy region, and of one with a silent host in every tenth group.
 fn planning(inputs: &mut Inputs) {
     let now = Instant::now();
     let policy = RepairPolicy::new(RepairWeight::Downtime);
     let (mut core, mut broken, mut state) = (Vec::new(), Vec::new(), Vec::new());
     for groups in GROUPS {
         let n = groups as f64;
-        state.push((n, held_by(|| view(groups, now))));
+        state.push((n, heap_bytes(|| view(groups, now))));
         let calm = view(groups, now);
         core.push((
             n,
@@ -299,7 +299,7 @@
             }
             queue
         };
-        (waiting as f64, held_by(make))
+        (waiting as f64, heap_bytes(make))
     });
     inputs.waiting_state = line("waiting_state", &state);
 }
@@ -355,7 +355,7 @@
         }
         log
     };
-    let state = [1_000, 3_000, 10_000].map(|n| (n as f64, held_by(|| log(n))));
+    let state = [1_000, 3_000, 10_000].map(|n| (n as f64, heap_bytes(|| log(n))));
     inputs.event_state = line("event_state", &state);
     let core = [1_000, 3_000, 10_000].map(|n| {
         let log = log(n);
--- a/crates/peer/examples/capacity/rows.rs
+++ b/crates/peer/examples/capacity/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of the table as they are read, and reports of hosts.
+//! Measures table rows as they are read; builds rows and host reports.
 
 use eelgrassmill_base::{HostEntry, HostReport, HostState, Placement, TargetKind};
 use eelgrassmill_claim::{ClaimRow, ClaimState, Owner, claim_key, fingerprint};
@@ -16,7 +16,7 @@
 
 use crate::line;
 
-/// A start as nodes and hosts have it: milliseconds since an epoch.
+/// An incarnation of a node or host: milliseconds since an epoch.
 const INCARNATION: u64 = 1_800_000_000_000;
 
 pub(crate) fn measure(inputs: &mut Inputs) {
@@ -67,7 +67,7 @@
     inputs.claim_row = fixed("claim_row", row_bytes(&key, &claim));
 }
 
-/// A demand of an idle entry and its grant as they travel.
+/// Encoded bytes of an idle entry host's demand and its grant.
 fn demand_bytes() -> f64 {
     let demand = SlotDemand {
         group: "drafting/17".into(),
@@ -167,7 +167,7 @@
     report_of(&group_row(0, hosts), 0)
 }
 
-/// What a member of `row` answers to a probe.
+/// The reply of a member of `row` to a probe.
 pub(crate) fn report_of(row: &GroupRow, member: usize) -> HostReport {
     HostReport {
         host: row.members[member].clone(),
--- a/crates/peer/examples/capacity/spread.rs
+++ b/crates/peer/examples/capacity/spread.rs
@@ -1,4 +1,4 @@
-//! Dissemination between real state machines in virtual time.
+//! Measures dissemination between real state machines in virtual time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -9,27 +9,27 @@
     ConfigAnnouncement, GroupLoad, HealthReport, Item, MAX_MESH_NODES, Member, NodeLoad,
 };
 
-use crate::counting::held_by;
+use crate::heap::heap_bytes;
 use crate::line;
-use crate::support::net::{Net, Tally, members};
+use crate::support::net::{Net, NodeStats, members};
 
-/// Nodes, groups and failure domains: today's sizes, then steps up to the aim.
+/// Nodes, groups and failure domains: a small system, then steps up to the design size.
 const SIZES: [(usize, usize, usize); 4] = [(8, 7, 3), (60, 18, 6), (185, 55, 6), (370, 110, 6)];
-/// Rounds of 50 ms in one interval between probes.
-const ROUNDS: u64 = 10;
-const ROUND: Duration = Duration::from_millis(50);
-/// Evidence older than this does not serve.
-const MAX_AGE: Duration = Duration::from_secs(2);
-const WARM_UP: u64 = 20;
-const MEASURED: u64 = 20;
+/// Rounds between two probes.
+const ROUNDS_PER_PROBE: u64 = 10;
+const ROUND_LENGTH: Duration = Duration::from_millis(50);
+/// Older evidence doesn't keep a group in service.
+const MAX_EVIDENCE_AGE: Duration = Duration::from_secs(2);
+const WARM_UP_SECONDS: u64 = 20;
+const MEASURED_SECONDS: u64 = 20;
 
-/// A system with watchers that probe and loads that change all the time.
+/// A simulated system with watchers that probe and loads that change all the time.
 pub(crate) struct Fleet {
     pub(crate) list: Vec<Member>,
     pub(crate) net: Net,
     /// Groups by watcher.
     watched: BTreeMap<NodeId, Vec<String>>,
-    /// The last round of probes of each watcher.
+    /// Time of the last round of probes by watcher.
     probed: BTreeMap<NodeId, Instant>,
     round: u64,
 }
@@ -38,8 +38,8 @@
     pub(crate) fn new(nodes: usize, groups: usize, domains: usize) -> Fleet {
         let list = members(nodes, domains);
         let mut net = Net::new(&list, 1);
-        net.keep_learned = false;
-        net.behaviour.latency = Duration::from_millis(5);
+        net.record_updates = false;
+        net.conditions.latency = Duration::from_millis(5);
         let mut fleet = Fleet {
             watched: watchers(&list, groups),
             list,
@@ -56,33 +56,35 @@
     }
 
     pub(crate) fn seconds(&mut self, seconds: u64) {
-        for _ in 0..seconds * 1000 / ROUND.as_millis() as u64 {
+        for _ in 0..seconds * 1000 / ROUND_LENGTH.as_millis() as u64 {
             self.step();
         }
     }
 
-    /// One round: watchers whose turn it is probe, all say what they last found.
+    /// One round: watchers that are due probe, and all confirm their last probes.
     pub(crate) fn step(&mut self) {
         let now = self.net.now;
         for watcher in self.watched.keys() {
             if !self.net.nodes.contains_key(watcher) {
                 continue;
             }
-            if stable_hash([watcher.as_str(), "probe"]) % ROUNDS == self.round % ROUNDS {
+            if stable_hash([watcher.as_str(), "probe"]) % ROUNDS_PER_PROBE
+                == self.round % ROUNDS_PER_PROBE
+            {
                 self.probed.insert(watcher.clone(), now);
             }
             if let Some(probed) = self.probed.get(watcher) {
                 self.net.node(watcher).confirm(*probed);
             }
         }
-        if self.round.is_multiple_of(2 * ROUNDS) {
+        if self.round.is_multiple_of(2 * ROUNDS_PER_PROBE) {
             self.change_loads();
         }
         self.round += 1;
-        self.net.run(ROUND);
+        self.net.run(ROUND_LENGTH);
     }
 
-    /// Loads that change by more than a step each second: the worst case.
+    /// Changes loads by more than the publishing threshold each second: the worst case.
     fn change_loads(&mut self) {
         let round = self.round as u32;
         for (i, member) in self.list.iter().enumerate() {
@@ -118,16 +120,16 @@
         }
     }
 
-    pub(crate) fn forget_tallies(&mut self) {
-        for tally in self.net.tally.values_mut() {
-            *tally = Tally::default();
+    pub(crate) fn reset_stats(&mut self) {
+        for stats in self.net.stats.values_mut() {
+            *stats = NodeStats::default();
         }
     }
 
-    /// Means over all nodes.
-    pub(crate) fn mean(&self, of: impl Fn(&Tally) -> f64) -> f64 {
-        let running = self.net.tally.values();
-        running.map(of).sum::<f64>() / self.net.tally.len() as f64
+    /// Mean over all nodes.
+    pub(crate) fn mean(&self, of: impl Fn(&NodeStats) -> f64) -> f64 {
+        let running = self.net.stats.values();
+        running.map(of).sum::<f64>() / self.net.stats.len() as f64
     }
 
     /// Ages of the best evidence on every group at every node.
@@ -190,20 +192,20 @@
 }
 
 pub(crate) fn measure(inputs: &mut Inputs) {
-    println!("dissemination, virtual time; means over all nodes, both ways");
+    println!("dissemination, virtual time; means over all nodes, both directions");
     let (mut bytes, mut calls, mut core, mut state) = (vec![], vec![], vec![], vec![]);
     for (nodes, groups, domains) in SIZES {
         let mut fleet = Fleet::new(nodes, groups, domains);
-        fleet.seconds(WARM_UP);
-        fleet.forget_tallies();
+        fleet.seconds(WARM_UP_SECONDS);
+        fleet.reset_stats();
         let mut ages = Vec::new();
-        for _ in 0..MEASURED * 20 {
+        for _ in 0..MEASURED_SECONDS * 20 {
             fleet.step();
             if fleet.round.is_multiple_of(7) {
                 ages.extend(fleet.ages());
             }
         }
-        let seconds = MEASURED as f64;
+        let seconds = MEASURED_SECONDS as f64;
         let n = nodes as f64;
         let here = [
             fleet.mean(|t| (t.sent + t.received) as f64) / seconds,
@@ -213,12 +215,12 @@
                 .net
                 .nodes
                 .values()
-                .map(|d| held_by(|| d.clone()))
+                .map(|d| heap_bytes(|| d.clone()))
                 .sum::<f64>()
                 / n,
         ];
         report_spread(&mut fleet, here, ages);
-        // A full mesh is another regime than the trees: no point of their slopes.
+        // A full mesh behaves differently from the trees, so it is no point of their fit.
         if nodes > MAX_MESH_NODES {
             bytes.push((n, here[0]));
             calls.push((n, here[1]));
@@ -235,14 +237,14 @@
 fn report_spread(fleet: &mut Fleet, [bytes, calls, core, state]: [f64; 4], ages: Vec<Duration>) {
     let mut ages = ages;
     ages.sort_unstable();
-    let most = fleet.net.tally.values().map(|t| t.sent + t.received).max();
-    let old = ages.iter().filter(|age| **age > MAX_AGE).count();
+    let most = fleet.net.stats.values().map(|t| t.sent + t.received).max();
+    let old = ages.iter().filter(|age| **age > MAX_EVIDENCE_AGE).count();
     println!(
-        "{:4} nodes, {:3} watchers: {bytes:.0} B/s (most {:.0}), {calls:.1} calls/s, {:.3}% core, \
-         {:.0} KB; age of best evidence: half {:?}, 99% {:?}, all {:?}, over 2 s {:.4}%",
+        "{:4} nodes, {:3} watchers: {bytes:.0} B/s (max {:.0}), {calls:.1} calls/s, {:.3}% core, \
+         {:.0} KB; age of best evidence: p50 {:?}, p99 {:?}, max {:?}, over 2 s {:.4}%",
         fleet.list.len(),
         fleet.watched.len(),
-        most.unwrap_or(0) as f64 / MEASURED as f64,
+        most.unwrap_or(0) as f64 / MEASURED_SECONDS as f64,
         core * 100.0,
         state / 1024.0,
         ages[ages.len() / 2],
@@ -262,6 +264,6 @@
         let took = fleet
             .net
             .run_until(limit, |net| net.all_hold(&origin, &item));
-        println!("      {name} known everywhere after {took:?}");
+        println!("      {name} received everywhere after {took:?}");
     }
 }
--- a/crates/peer/examples/capacity/transport.rs
+++ b/crates/peer/examples/capacity/transport.rs
@@ -1,4 +1,4 @@
-//! What tonic and the probes of hosts cost over loopback.
+//! Measures the cost of gRPC calls and host probes over loopback.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -12,35 +12,35 @@
 
 use crate::line;
 use crate::rows::report;
-use crate::support::cluster::{Cluster, wait};
+use crate::support::cluster::{Cluster, wait_until};
 use crate::support::net::status;
 
 const CALLS: u32 = 2_000;
 const PROBES: u32 = 200;
-const TEXTS: u64 = 21;
-const CONTROL: Duration = Duration::from_secs(10);
+const CONFIG_CHANGES: u64 = 21;
+const IDLE_PERIOD: Duration = Duration::from_secs(10);
 const LIMIT: Duration = Duration::from_secs(10);
 
 pub(crate) fn measure(inputs: &mut Inputs) {
     println!("\ntransport, over loopback");
     measure_calls(inputs);
     measure_probes(inputs);
-    measure_control();
+    measure_idle_nodes();
     measure_config();
 }
 
-/// How long until eight real nodes have a changed text, from the announcement on.
+/// Measures how long eight real nodes take to fetch a changed text after its announcement.
 fn measure_config() {
     let cluster = Cluster::start(8);
     let all = || {
         let mut nodes = cluster.nodes.values();
         nodes.all(|n| cluster.all_hold(&n.member.id, &status(&n.member)))
     };
-    wait(LIMIT, all).expect("the nodes find each other");
+    wait_until(LIMIT, all).expect("the nodes discover each other");
     let long: String = (0..2_000).map(|i| format!("key_{i} = value\n")).collect();
     let text = |version: u64| long.replace("key_700 = value", &format!("key_700 = {version}"));
     let source = &cluster.nodes["node-0"].handler;
-    source.put_text(1, &text(1));
+    source.set_text(1, &text(1));
     let mut bases: Vec<ConfigText> = Vec::new();
     for running in cluster.nodes.values() {
         let from = "node-0".into();
@@ -50,9 +50,9 @@
         bases.push(first.expect("the first text"));
     }
     let mut times = Vec::new();
-    for version in 2..=TEXTS + 1 {
+    for version in 2..=CONFIG_CHANGES + 1 {
         let changed = text(version);
-        source.put_text(version, &changed);
+        source.set_text(version, &changed);
         let item = Item::Config(ConfigAnnouncement {
             version,
             checksum: checksum(&changed),
@@ -69,14 +69,14 @@
     }
     times.sort_unstable();
     println!(
-        "a changed text of {} bytes at all of 8 nodes: half within {:?}, all within {:?} ({TEXTS} changes)",
+        "a changed text of {} bytes at 8 nodes: p50 {:?}, max {:?} ({CONFIG_CHANGES} changes)",
         long.len(),
         times[times.len() / 2],
         times[times.len() - 1],
     );
 }
 
-/// Fetches the text at the `i`th node once it knows of it; whether it has it.
+/// Fetches the text at the `i`th node once it holds the announcement. Returns whether it has it.
 fn fetched(cluster: &Cluster, i: usize, item: &Item, base: &mut ConfigText) -> bool {
     let Some((name, running)) = cluster.nodes.iter().nth(i) else {
         return true;
@@ -93,7 +93,7 @@
     true
 }
 
-/// Calls that carry nothing but the caller's name.
+/// Measures calls that carry only the caller's ID.
 fn measure_calls(inputs: &mut Inputs) {
     let cluster = Cluster::start(2);
     let here = cluster.node("node-0");
@@ -125,7 +125,7 @@
     inputs.call_core = constant("call_core", &core);
 }
 
-/// A cost that does not grow: the mean of the points.
+/// A constant cost: the mean of the points.
 fn constant(name: &str, points: &[(f64, f64)]) -> eelgrassmill_peer::capacity::LinearCost {
     line(name, points);
     let sum: f64 = points.iter().map(|p| p.1).sum();
@@ -135,7 +135,7 @@
     }
 }
 
-/// Probes of hosts of groups of 2, 4 and 8.
+/// Measures probes of hosts of groups of 2, 4 and 8.
 fn measure_probes(inputs: &mut Inputs) {
     let (mut bytes, mut core) = (Vec::new(), Vec::new());
     for hosts in [2, 4, 8] {
@@ -157,7 +157,7 @@
     inputs.probe_core = line("probe_core", &core);
 }
 
-/// Answers the probes with `body`; gives the bytes of requests and answers.
+/// Answers the probes with `body`. Returns the bytes of requests and responses.
 fn serve(listener: &TcpListener, body: &str) -> usize {
     let head = format!(
         "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: {}\r\n\
@@ -185,14 +185,14 @@
     head.len()
 }
 
-/// Eight real nodes with nothing but their own state to hand on.
-fn measure_control() {
+/// Measures eight real nodes that disseminate only their own state.
+fn measure_idle_nodes() {
     let cluster = Cluster::start(8);
     let all = || {
         let mut nodes = cluster.nodes.values();
         nodes.all(|n| cluster.all_hold(&n.member.id, &status(&n.member)))
     };
-    wait(LIMIT, all).expect("the nodes find each other");
+    wait_until(LIMIT, all).expect("the nodes discover each other");
     let traffic = || {
         let nodes = cluster.nodes.values().map(|n| n.node.traffic());
         nodes.fold((0, 0), |(bytes, calls), t| {
@@ -202,7 +202,7 @@
     let (bytes, calls) = traffic();
     let busy = core_seconds();
     let began = Instant::now();
-    while began.elapsed() < CONTROL {
+    while began.elapsed() < IDLE_PERIOD {
         for running in cluster.nodes.values() {
             running.node.confirm(Instant::now());
         }
@@ -211,14 +211,14 @@
     let seconds = began.elapsed().as_secs_f64() * 8.0;
     let (more_bytes, more_calls) = traffic();
     println!(
-        "8 nodes for {CONTROL:?}, dissemination alone: {:.0} B/s, {:.1} calls/s and {:.3}% core a node",
+        "8 nodes for {IDLE_PERIOD:?}, dissemination alone: {:.0} B/s, {:.1} calls/s and {:.3}% core per node",
         (more_bytes - bytes) as f64 / seconds,
         (more_calls - calls) as f64 / seconds,
         (core_seconds() - busy) / seconds * 100.0,
     );
 }
 
-/// Seconds of a core that this process has used.
+/// CPU seconds used by this process.
 fn core_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/self/stat").unwrap_or_default();
     let fields = stat.rsplit(") ").next().unwrap_or_default();
@@ -226,7 +226,7 @@
     ticks.filter_map(|t| t.parse::<f64>().ok()).sum::<f64>() / 100.0
 }
 
-/// Seconds of a core that this thread has used.
+/// CPU seconds used by this thread.
 fn thread_seconds() -> f64 {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let first = stat.split(' ').next().and_then(|t| t.parse::<f64>().ok());
--- a/crates/peer/tests/capacity.rs
+++ b/crates/peer/tests/capacity.rs
@@ -1,4 +1,4 @@
-//! The arithmetic of the capacity page, and the page against it.
+//! Tests of the capacity model, and of the capacity page against it.
 
 use eelgrassmill_peer::capacity::{Inputs, LinearCost, Role, Size, store_load, table, total};
 use googletest::prelude::*;
@@ -23,7 +23,7 @@
 }
 
 #[gtest]
-fn a_line_goes_through_points_that_lie_on_one() {
+fn fit_is_exact_for_collinear_points() {
     let line = LinearCost::fit(&[(10.0, 25.0), (20.0, 45.0), (40.0, 85.0)]);
     expect_that!(line.fixed, near(5.0, 1e-9));
     expect_that!(line.per_unit, near(2.0, 1e-9));
@@ -32,7 +32,7 @@
 }
 
 #[gtest]
-fn inputs_are_read_as_they_are_printed() {
+fn printed_inputs_parse_to_the_same_values() {
     let inputs = Inputs {
         node_row: constant(331.0),
         plan_core: LinearCost {
@@ -60,24 +60,27 @@
         ..Inputs::default()
     };
     let size = Size::DESIGN;
-    // 110 groups with 3 watchers over 370 nodes; 8 hosts of each probed twice a second.
+    // 110 groups with 3 watchers over 370 nodes; 8 hosts of each probed twice per second.
     let probes = 110.0 * 3.0 / 370.0 * 8.0 * 2.0;
     let watcher = Role::Watcher.usage(&size, &inputs);
     expect_that!(watcher.bytes_per_s, near(probes * 400.0, 1e-6));
     expect_that!(watcher.messages_per_s, near(2.0 * probes, 1e-6));
-    let spread = Role::Dissemination.usage(&size, &inputs);
-    expect_that!(spread.bytes_per_s, near(3_700.0 + 2.0 * 20.0 * 100.0, 1e-6));
+    let dissemination = Role::Dissemination.usage(&size, &inputs);
+    expect_that!(
+        dissemination.bytes_per_s,
+        near(3_700.0 + 2.0 * 20.0 * 100.0, 1e-6)
+    );
     let reader = Role::Reader.usage(&size, &inputs);
-    // Four readers of a domain take turns twice a second; a contender reads node rows
-    // in the other rounds as well.
+    // Four readers of a domain take turns twice per second; a takeover candidate also reads
+    // node rows in the other rounds.
     expect_that!(reader.bytes_per_s, near(0.5 * 370.0 * 300.0, 1e-6));
-    let contender = Role::TakeoverCandidate.usage(&size, &inputs);
-    expect_that!(contender.bytes_per_s, near(1.5 * 370.0 * 300.0, 1e-6));
-    let seldom = Role::InfrequentReader.usage(&size, &inputs);
-    expect_that!(seldom.bytes_per_s, near(0.1 * 370.0 * 300.0, 1e-6));
-    // Each of 110 groups has its issuer among 370 nodes, some of them the same. A node
-    // asks four times in three seconds, and four times a second where it runs something:
-    // at 880 groups over all nodes. It answers as many calls as it makes.
+    let candidate = Role::TakeoverCandidate.usage(&size, &inputs);
+    expect_that!(candidate.bytes_per_s, near(1.5 * 370.0 * 300.0, 1e-6));
+    let infrequent = Role::InfrequentReader.usage(&size, &inputs);
+    expect_that!(infrequent.bytes_per_s, near(0.1 * 370.0 * 300.0, 1e-6));
+    // Each of 110 groups has its issuer among 370 nodes, some of them the same. A node sends
+    // four demands in three seconds, and four per second to groups at which it runs requests:
+    // 880 over all nodes. It answers as many calls as it makes.
     let issuers = 370.0 * (1.0 - (369.0_f64 / 370.0).powi(110));
     let busy = 880.0 / 370.0 * (4.0 - 4.0 / 3.0);
     let calls = issuers * 4.0 / 3.0 + busy;
@@ -95,16 +98,16 @@
         .sum();
     expect_that!(total(&size, &inputs).bytes_per_s, near(sum, 1e-6));
     let (reads, writes) = store_load(&size, &inputs);
-    // Two rows in each of two rounds and two ranges each two seconds at four readers of
-    // each of six failure domains, who also read 2,100 texts a day; all four once in ten
-    // seconds at all others; the claims' era each 20 s at all; node rows in three of four
-    // rounds at three contenders of each region; a planner reads one row in each round
-    // and two ranges each two seconds.
-    let often = 24.0 * (4.0 + 1.0 + 2_100.0 / 86_400.0);
+    // Four readers in each of six failure domains read two rows in each of two rounds per
+    // second, two ranges every two seconds and 2,100 texts per day; all other nodes read all
+    // four every ten seconds; all nodes read the claims' era every 20 s; three takeover
+    // candidates of each region read node rows in three of four rounds; a planner reads one
+    // row in each round and two ranges every two seconds.
+    let frequent = 24.0 * (4.0 + 1.0 + 2_100.0 / 86_400.0);
     let planners = 3.0 * (2.0 + 1.0 + 3.0 * 1.5);
-    let expected = often + 346.0 * 0.4 + 370.0 * 0.05 + planners;
+    let expected = frequent + 346.0 * 0.4 + 370.0 * 0.05 + planners;
     expect_that!(reads, near(expected, 1e-6));
-    // Leases, claims of one request in twenty, and changes of the configuration.
+    // Lease renewals, claims of one request in twenty, and configuration changes.
     let claims = 5_200.0 * 0.05 * 2.0;
     expect_that!(
         writes,
--- a/crates/peer/tests/dissemination.rs
+++ b/crates/peer/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! The pure state machine over a network in virtual time.
+//! Tests of the state machine over a simulated network in virtual time.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use eelgrassmill_peer::{Change, ConfigAnnouncement, HealthReport, Item, ItemKey, LeavingTarget};
 use googletest::prelude::*;
 
-use crate::support::net::{Behaviour, Net, member, members, status};
+use crate::support::net::{Net, NetworkConditions, member, members, status};
 
 fn health(group: &str, serving: bool) -> Item {
     Item::Health(HealthReport {
@@ -28,7 +28,7 @@
 }
 
 #[gtest]
-fn an_update_reaches_all_nodes_of_a_mesh() {
+fn update_reaches_all_nodes_of_a_mesh() {
     let mut net = Net::new(&members(8, 3), 1);
     net.run(Duration::from_secs(2));
     net.publish("node-3", health("replies/0", true));
@@ -36,7 +36,7 @@
         net.all_hold("node-3", &health("replies/0", true))
     });
     expect_that!(took, some(le(Duration::from_millis(300))));
-    expect_that!(net.agree(), eq(true));
+    expect_that!(net.has_converged(), eq(true));
 }
 
 #[gtest]
@@ -51,7 +51,7 @@
 }
 
 #[gtest]
-fn withdrawn_and_outlived_items_go_everywhere() {
+fn withdrawn_and_expired_items_are_removed_everywhere() {
     let mut net = Net::new(&members(8, 3), 3);
     let leaving = Item::Leaving(LeavingTarget {
         host: "host-1".into(),
@@ -77,9 +77,9 @@
 }
 
 #[gtest]
-fn a_restarted_node_replaces_what_it_said_before() {
-    // A node restarts and its watch over a group has ended. Were its old verdict
-    // still counted, requests would go to a group that nobody probes.
+fn restart_discards_the_former_incarnations_items() {
+    // If the former incarnation's health report remained, requests would be sent to a group
+    // that nobody probes any more.
     let list = members(8, 3);
     let mut net = Net::new(&list, 4);
     net.publish("node-5", health("replies/0", true));
@@ -93,13 +93,13 @@
             .collect();
         expect_that!(held, elements_are![eq(&status(&list[5]))], "at {name}");
     }
-    expect_that!(net.agree(), eq(true));
+    expect_that!(net.has_converged(), eq(true));
 }
 
 #[gtest]
-fn a_dead_node_is_forgotten_and_never_brought_back() {
-    // A node dies. What it said must go, and must not travel round among those who
-    // have already forgotten it and those who have not.
+fn dead_node_expires_and_is_not_restored() {
+    // A dead node's state must not circulate between nodes that have dropped it and nodes that
+    // still hold it.
     let mut net = Net::new(&members(20, 3), 5);
     net.run(Duration::from_secs(5));
     net.stop("node-7");
@@ -116,9 +116,9 @@
 }
 
 #[gtest]
-fn a_cut_between_two_nodes_is_passed_round_and_healed() {
-    // Two nodes can't reach each other, everybody else can reach both. Verdicts of
-    // the one must still be fresh at the other.
+fn state_is_routed_around_a_broken_link() {
+    // Two nodes can't reach each other, but all others reach both. Health reports of
+    // one must stay fresh at the other.
     let mut net = Net::new(&members(8, 3), 6);
     net.cut("node-1", "node-2");
     net.publish("node-1", health("replies/0", true));
@@ -136,13 +136,13 @@
     expect_that!(confirmed, some(le(Duration::from_millis(2000))));
     net.heal();
     net.run(Duration::from_secs(15));
-    expect_that!(net.agree(), eq(true));
+    expect_that!(net.has_converged(), eq(true));
 }
 
 #[gtest]
-fn parts_that_forgot_each_other_join_again() {
-    // Two regions lose each other for longer than nodes remember each other's state.
-    // When the line is back, both must be one system again without an operator.
+fn partition_heals_after_mutual_expiry() {
+    // A partition lasts longer than the expiry of state. Once it ends, both sides must
+    // reconnect without an operator.
     let list = members(16, 2);
     let mut net = Net::new(&list, 7);
     net.run(Duration::from_secs(5));
@@ -151,38 +151,37 @@
         .filter(|m| m.failure_domain == "domain-1")
         .map(|m| m.id.clone())
         .collect();
-    net.part(&side);
+    net.partition(&side);
     net.run(Duration::from_secs(180));
     expect_that!(net.nodes["node-0"].items_of("node-1").count(), eq(0));
     net.heal();
-    let took = net.run_until(Duration::from_secs(60), Net::agree);
+    let took = net.run_until(Duration::from_secs(60), Net::has_converged);
     expect_that!(took, some(le(Duration::from_secs(30))));
 }
 
 #[gtest]
-fn a_node_that_knows_one_seed_learns_all() {
-    // The table service is down when a node starts, so that it has no list of
-    // members. It asks a seed.
+fn node_with_one_seed_discovers_all_nodes() {
+    // A node that starts while the table service is down has no list of members and
+    // sends a hello to a seed.
     let list = members(30, 3);
     let mut net = Net::new(&list, 8);
     net.publish("node-4", announcement(17));
     net.run(Duration::from_secs(3));
     let late = member("late", "domain-1");
     net.start(&late, 1, &[]);
-    net.greet("late", "node-9");
+    net.send_hello("late", "node-9");
     let took = net.run_until(Duration::from_secs(20), |net| {
-        net.all_hold("late", &status(&late)) && net.agree()
+        net.all_hold("late", &status(&late)) && net.has_converged()
     });
     expect_that!(took, some(le(Duration::from_secs(3))));
     expect_that!(net.nodes["late"].overlay().len(), eq(31));
 }
 
 #[gtest]
-fn a_batch_that_was_held_up_does_not_look_fresh() {
-    // A watcher is paused between putting a batch together and sending it. When it
-    // goes on, the verdict in the batch is ten seconds old, while its age still
-    // says zero. Taken at its word, it would keep a group in service that may have
-    // lost a host since.
+fn delayed_batch_does_not_look_fresh() {
+    // A watcher is paused for ten seconds between building a batch and sending it, so the
+    // batch still states an age of zero. Taken as fresh, its health report would keep a
+    // group in service that may have lost a host since.
     let list = members(2, 1);
     let mut net = Net::new(&list, 9);
     net.publish("node-0", health("replies/0", true));
@@ -213,16 +212,16 @@
     expect_that!(confirmed, some(le(sent + Duration::from_millis(20))));
 }
 
-/// All nodes publish, withdraw and restart at random under loss, doubling and
-/// reordering; afterwards all must hold the same.
+/// Nodes publish, withdraw and restart at random under loss, duplication and
+/// reordering. Returns how long they then take to converge.
 fn converges(count: usize, domains: usize, seed: u64) -> Option<Duration> {
     let list = members(count, domains);
     let mut net = Net::new(&list, seed);
-    net.keep_learned = false;
-    net.behaviour = Behaviour {
+    net.record_updates = false;
+    net.conditions = NetworkConditions {
         latency: Duration::from_millis(60),
         loss: 0.2,
-        doubled: 0.1,
+        duplication: 0.1,
     };
     let mut rng = fastrand::Rng::with_seed(seed);
     let mut incarnation = 1;
@@ -244,11 +243,11 @@
         }
         net.run(Duration::from_millis(100));
     }
-    net.run_until(Duration::from_secs(60), Net::agree)
+    net.run_until(Duration::from_secs(60), Net::has_converged)
 }
 
 #[gtest]
-fn eight_nodes_agree_under_loss() {
+fn eight_nodes_converge_under_packet_loss() {
     for seed in 0..4 {
         expect_that!(
             converges(8, 3, seed),
@@ -259,27 +258,27 @@
 }
 
 #[gtest]
-fn sixty_nodes_agree_under_loss() {
+fn sixty_nodes_converge_under_packet_loss() {
     expect_that!(converges(60, 6, 11), some(le(Duration::from_secs(30))));
 }
 
-/// Guards against nodes that start together taking each other for silent, and acting as if each
-/// were alone, since their first batches count as having been under way for as long as a call may.
+/// Guards against nodes that start together considering each other silent, and each acting as if it
+/// were alone, because their first batches are assumed to be delayed by the call timeout.
 #[gtest]
-fn nodes_that_start_together_know_that_the_others_are_up() {
+fn nodes_that_start_together_see_each_other_as_alive() {
     let all = members(30, 3);
     let mut net = Net::empty(5);
     for member in &all {
         net.start(member, 1, &[]);
     }
     for member in &all[1..] {
-        net.greet(&member.id, &all[0].id);
+        net.send_hello(&member.id, &all[0].id);
     }
     let began = net.now;
     net.run(Duration::from_millis(800));
     for member in &all {
-        let heard = net.nodes[&member.id].origins();
-        let late = heard.filter(|(_, _, confirmed)| *confirmed + Duration::from_secs(1) < began);
+        let origins = net.nodes[&member.id].origins();
+        let late = origins.filter(|(_, _, confirmed)| *confirmed + Duration::from_secs(1) < began);
         let late: Vec<_> = late.map(|(origin, ..)| origin.clone()).collect();
         expect_that!(late, is_empty(), "at {}", member.id);
     }
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -1,4 +1,4 @@
-//! Real nodes that talk over loopback.
+//! Tests with real nodes over loopback.
 
 mod support;
 
@@ -11,7 +11,7 @@
 };
 use googletest::prelude::*;
 
-use crate::support::cluster::{Cluster, wait};
+use crate::support::cluster::{Cluster, wait_until};
 use crate::support::net::status;
 
 const LIMIT: Duration = Duration::from_secs(10);
@@ -27,72 +27,71 @@
 }
 
 #[gtest]
-fn an_update_reaches_eight_nodes() {
+fn update_reaches_eight_nodes() {
     let cluster = Cluster::start(8);
     let item = missing("replies/0");
     cluster.node("node-3").publish(item.clone());
     expect_that!(
-        wait(LIMIT, || cluster.all_hold("node-3", &item)),
+        wait_until(LIMIT, || cluster.all_hold("node-3", &item)),
         some(anything())
     );
-    let told = || {
+    let is_handled = || {
         let updates = cluster.nodes["node-0"].handler.updates.lock();
         let updates = updates.expect("the lock is whole");
         updates
             .iter()
             .any(|(_, u)| matches!(&u.change, Change::Put { item: put, .. } if *put == item))
     };
-    expect_that!(wait(LIMIT, told), some(anything()));
+    expect_that!(wait_until(LIMIT, is_handled), some(anything()));
 }
 
 #[gtest]
-fn nodes_that_were_cut_off_catch_up() {
-    // A line between two nodes fails while a third reaches both: what the one says
-    // still comes to the other, by way of the third. Then one node is cut off from
-    // all, and learns what it missed when it is back.
+fn partitioned_nodes_catch_up() {
+    // With a broken link between two nodes, state still reaches the other via a third node.
+    // A node that was cut off from all then receives what it missed once it is back.
     let cluster = Cluster::start(3);
     expect_that!(
-        wait(LIMIT, || cluster
+        wait_until(LIMIT, || cluster
             .all_hold("node-0", &status(&cluster.nodes["node-0"].member))),
         some(anything())
     );
-    cluster.cut("node-0", "node-1");
+    cluster.block("node-0", "node-1");
     let first = missing("replies/0");
     cluster.node("node-0").publish(first.clone());
-    let took = wait(LIMIT, || cluster.holds("node-1", "node-0", &first));
+    let took = wait_until(LIMIT, || cluster.holds("node-1", "node-0", &first));
     expect_that!(took, some(anything()));
 
     let others: Vec<NodeId> = vec!["node-0".into(), "node-1".into()];
     cluster.nodes["node-2"].blocked_peers.set(others);
     let second = missing("replies/1");
     cluster.node("node-1").publish(second.clone());
-    let reached = wait(Duration::from_millis(1500), || {
+    let reached = wait_until(Duration::from_millis(1500), || {
         cluster.holds("node-2", "node-1", &second)
     });
     expect_that!(reached, none());
     for running in cluster.nodes.values() {
         running.blocked_peers.set([]);
     }
-    let took = wait(LIMIT, || cluster.all_hold("node-1", &second));
+    let took = wait_until(LIMIT, || cluster.all_hold("node-1", &second));
     expect_that!(took, some(anything()));
 }
 
 #[gtest]
-fn a_restarted_node_with_another_address_takes_its_place() {
-    // A node is replaced: same name, another port, a higher incarnation. The others
-    // must drop what the former one said and find the new one by its own word.
+fn restarted_node_with_a_new_address_replaces_its_former_incarnation() {
+    // A replaced node has the same name, another port and a higher incarnation. The others
+    // must drop the former items and use the address in the new status.
     let mut cluster = Cluster::start(4);
     let item = missing("replies/0");
     cluster.node("node-2").publish(item.clone());
     expect_that!(
-        wait(LIMIT, || cluster.all_hold("node-2", &item)),
+        wait_until(LIMIT, || cluster.all_hold("node-2", &item)),
         some(anything())
     );
     cluster.node("node-2").stop();
     cluster.nodes.remove("node-2");
     cluster.add("node-2", 2, &["node-0"]);
     let now = status(&cluster.nodes["node-2"].member);
-    let took = wait(LIMIT, || {
+    let took = wait_until(LIMIT, || {
         cluster.all_hold("node-2", &now)
             && cluster
                 .nodes
@@ -103,31 +102,31 @@
     let back = missing("replies/1");
     cluster.node("node-3").publish(back.clone());
     expect_that!(
-        wait(LIMIT, || cluster.all_hold("node-3", &back)),
+        wait_until(LIMIT, || cluster.all_hold("node-3", &back)),
         some(anything())
     );
 }
 
 #[gtest]
-fn a_node_that_knows_one_seed_takes_part() {
-    // The table service is down when a node starts: it has no list of members.
+fn node_with_one_seed_joins() {
+    // A node that starts while the table service is down has no list of members.
     let mut cluster = Cluster::start(3);
     cluster.add("late", 1, &["node-1"]);
     let late = status(&cluster.nodes["late"].member);
     expect_that!(
-        wait(LIMIT, || cluster.all_hold("late", &late)),
+        wait_until(LIMIT, || cluster.all_hold("late", &late)),
         some(anything())
     );
     let item = missing("replies/0");
     cluster.node("node-2").publish(item.clone());
     expect_that!(
-        wait(LIMIT, || cluster.holds("late", "node-2", &item)),
+        wait_until(LIMIT, || cluster.holds("late", "node-2", &item)),
         some(anything())
     );
 }
 
 #[gtest]
-fn calls_are_answered_and_refused() {
+fn calls_return_replies_and_errors() {
     let cluster = Cluster::start(2);
     let here = cluster.node("node-0");
     let other = NodeId::from("node-1");
@@ -153,10 +152,10 @@
     expect_that!(grants.len(), eq(1));
     expect_that!(grants[0].slots, eq(5));
 
-    let stranger = NodeId::from("nobody");
-    let nobody = here.fetch_timeline(&stranger, Vec::new(), LIMIT);
-    let nobody = cluster.runtime.block_on(nobody);
-    expect_that!(nobody, err(pat!(PeerError::NoAddress(_))));
+    let unknown_id = NodeId::from("nobody");
+    let unknown = here.fetch_timeline(&unknown_id, Vec::new(), LIMIT);
+    let unknown = cluster.runtime.block_on(unknown);
+    expect_that!(unknown, err(pat!(PeerError::NoAddress(_))));
 
     let huge = here.fetch_timeline(&other, vec![0; 1024 * 1024], LIMIT);
     let huge = cluster.runtime.block_on(huge);
@@ -169,7 +168,7 @@
 }
 
 #[gtest]
-fn a_text_travels_as_a_difference_and_is_checked() {
+fn config_text_is_sent_as_a_difference_and_verified() {
     let cluster = Cluster::start(2);
     let here = cluster.node("node-0");
     let other = NodeId::from("node-1");
@@ -180,7 +179,7 @@
 
     let long: String = (0..2000).map(|i| format!("key-{i} = väl\n")).collect();
     let serving = &cluster.nodes["node-1"].handler;
-    serving.put_text(1, &long);
+    serving.set_text(1, &long);
     let whole = cluster
         .runtime
         .block_on(here.fetch_config(&other, None, LIMIT))
@@ -189,7 +188,7 @@
     expect_that!(whole.author, eq("ada"));
 
     let next = long.replace("key-1000 = väl", "key-1000 = vål");
-    serving.put_text(2, &next);
+    serving.set_text(2, &next);
     let before = cluster.node("node-1").traffic().sent_bytes;
     let changed = cluster
         .runtime
@@ -199,34 +198,34 @@
     expect_that!(changed.text, eq(&next));
     expect_that!(after - before, le(long.len() as u64 / 4));
 
-    // A node whose text of that version is another one must not patch it blindly.
-    let mut mistaken = changed.clone();
-    mistaken.text.push('x');
-    serving.put_text(3, &long);
-    let settled = cluster
+    // The difference must not be applied to a base with another text of that version.
+    let mut wrong_base = changed.clone();
+    wrong_base.text.push('x');
+    serving.set_text(3, &long);
+    let fetched = cluster
         .runtime
-        .block_on(here.fetch_config(&other, Some(&mistaken), LIMIT))
+        .block_on(here.fetch_config(&other, Some(&wrong_base), LIMIT))
         .expect("it answers");
-    expect_that!(settled.text, eq(&long));
+    expect_that!(fetched.text, eq(&long));
 }
 
 #[gtest]
-fn a_version_is_known_at_eight_nodes_well_within_three_seconds() {
+fn config_version_reaches_eight_nodes_within_three_seconds() {
     let cluster = Cluster::start(8);
-    let everybody = || {
+    let all_discovered = || {
         cluster
             .nodes
             .values()
             .all(|n| cluster.all_hold(&n.member.id, &status(&n.member)))
     };
-    expect_that!(wait(LIMIT, everybody), some(anything()));
-    cluster.nodes["node-0"].handler.put_text(1, "a = 1\n");
+    expect_that!(wait_until(LIMIT, all_discovered), some(anything()));
+    cluster.nodes["node-0"].handler.set_text(1, "a = 1\n");
     let item = Item::Config(ConfigAnnouncement {
         version: 1,
         checksum: eelgrassmill_peer::checksum("a = 1\n"),
     });
     cluster.node("node-0").publish(item.clone());
-    let took = wait(LIMIT, || cluster.all_hold("node-0", &item));
+    let took = wait_until(LIMIT, || cluster.all_hold("node-0", &item));
     println!("known at 8 nodes after {took:?}");
     expect_that!(took, some(le(Duration::from_secs(3))));
     let text = cluster
@@ -239,8 +238,8 @@
     expect_that!(text.map(|t| t.version).ok(), some(eq(1)));
 }
 
-/// Guards against a node that answers late being dialled anew for each call, which would make
-/// it later still.
+/// Guards against opening a new connection to a slow node for each late call, which would slow
+/// it down further.
 #[gtest]
 fn calls_that_time_out_keep_the_connection_to_a_slow_node() {
     let cluster = Cluster::start(2);
@@ -267,10 +266,9 @@
     expect_that!(here.traffic().connections - before, eq(0));
 }
 
-/// Guards against nodes that start together knowing nobody for seconds, since the seeds were the
-/// last of them to start.
+/// Guards against nodes that know no other for seconds because their seeds started last.
 #[gtest]
-fn a_node_that_starts_before_its_seed_hears_of_it_soon() {
+fn node_started_before_its_seed_discovers_it_soon() {
     let reserved = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
     let seed = reserved.local_addr().expect("its address");
     drop(reserved);
@@ -280,6 +278,6 @@
     std::thread::sleep(Duration::from_millis(300));
     cluster.add_at("node-0", 1, seed, Vec::new());
     let item = status(&cluster.nodes["node-0"].member);
-    let heard = wait(LIMIT, || cluster.holds("node-1", "node-0", &item));
-    expect_that!(heard, some(le(Duration::from_millis(1000))));
+    let took = wait_until(LIMIT, || cluster.holds("node-1", "node-0", &item));
+    expect_that!(took, some(le(Duration::from_millis(1000))));
 }
--- a/crates/peer/tests/reordering.rs
+++ b/crates/peer/tests/reordering.rs
@@ -1,4 +1,4 @@
-//! Batches that come twice, late and in any order.
+//! Tests with duplicated, delayed and reordered batches.
 
 mod support;
 
@@ -15,13 +15,13 @@
 
 use crate::support::net::{member, status};
 
-/// What the origin does between two ticks.
+/// An action of the origin between two ticks.
 #[derive(Clone, Debug)]
 enum Step {
     Publish { group: u8, epoch: u64 },
     Withdraw { group: u8 },
     Restart,
-    Rest,
+    Idle,
 }
 
 fn step() -> impl Strategy<Value = Step> {
@@ -29,7 +29,7 @@
         5 => (0..4u8, 0..9u64).prop_map(|(group, epoch)| Step::Publish { group, epoch }),
         2 => (0..4u8).prop_map(|group| Step::Withdraw { group }),
         1 => Just(Step::Restart),
-        1 => Just(Step::Rest),
+        1 => Just(Step::Idle),
     ]
 }
 
@@ -49,8 +49,8 @@
     ItemKey::Health(format!("replies/{group}").into())
 }
 
-/// Plays `steps` at node `a`; gives it and all that it sent to `b`.
-fn play(steps: &[Step], now: &mut Instant) -> (Dissemination, Vec<Batch>) {
+/// Runs `steps` at node `a`. Returns it and the batches that it sent to `b`.
+fn run_steps(steps: &[Step], now: &mut Instant) -> (Dissemination, Vec<Batch>) {
     let mut incarnation = 1;
     let mut a = start("a", incarnation, *now);
     let mut sent = Vec::new();
@@ -71,7 +71,7 @@
                 incarnation += 1;
                 a = start("a", incarnation, *now);
             }
-            Step::Rest => {}
+            Step::Idle => {}
         }
         *now += Duration::from_millis(300);
         sent.extend(a.tick(*now).batches.into_iter().map(|(_, batch)| batch));
@@ -113,17 +113,17 @@
         ..Config::default()
     })]
 
-    /// A connection is retried and another path is slower, so that batches come twice
-    /// and out of order. Nothing older may take the place of anything newer, or a
-    /// group that has lost a host would be served again; and in the end both agree.
+    /// Retries and slower paths duplicate and reorder batches. Older state must never
+    /// replace newer state, or a group that has lost a host would receive requests
+    /// again. Finally both nodes must hold the same.
     #[test]
-    fn nothing_older_takes_the_place_of_anything_newer(
+    fn older_state_never_replaces_newer_state(
         steps in prop::collection::vec(step(), 1..24),
         order in prop::collection::vec(any::<prop::sample::Index>(), 1..60),
     ) {
         let mut now = Instant::now() + Duration::from_secs(7200);
         let mut b = start("b", 1, now);
-        let (mut a, sent) = play(&steps, &mut now);
+        let (mut a, sent) = run_steps(&steps, &mut now);
         let from = NodeId::from("a");
         let mut highest: BTreeMap<(u64, ItemKey), u64> = BTreeMap::new();
         let mut incarnation = 0;
@@ -146,21 +146,21 @@
         a.receive(&to, hello, now);
         let answer = a.answer(&to, now);
         b.receive(&from, answer, now);
-        let (in_the_end, held) = view(&b);
-        let (own, published) = view(&a);
-        prop_assert_eq!(in_the_end, own);
+        let (final_incarnation, held) = view(&b);
+        let (own_incarnation, published) = view(&a);
+        prop_assert_eq!(final_incarnation, own_incarnation);
         prop_assert_eq!(held, published);
     }
 }
 
 #[gtest]
-fn the_steps_do_send_batches() {
+fn steps_produce_batches() {
     let mut now = Instant::now() + Duration::from_secs(7200);
     let steps = [
         Step::Publish { group: 1, epoch: 2 },
         Step::Restart,
-        Step::Rest,
+        Step::Idle,
     ];
-    let (_, sent) = play(&steps, &mut now);
+    let (_, sent) = run_steps(&steps, &mut now);
     expect_that!(sent.len(), ge(2));
 }
--- a/crates/peer/tests/scale.rs
+++ b/crates/peer/tests/scale.rs
@@ -1,4 +1,4 @@
-//! How far and how fast changes travel at the size that the design is for.
+//! Tests of reach, latency and cost at the size that the system is designed for.
 
 mod support;
 
@@ -17,32 +17,32 @@
 
 const NODES: usize = 370;
 const DOMAINS: usize = 6;
-/// From the origin to its partner in another domain, and two down that domain's tree.
+/// From the origin to its partner in another domain, and two levels down that domain's tree.
 const HOPS: usize = 3;
-/// The same where domains have relays: to the origin's relay first, and from the last one to its
-/// leaf.
+/// The same with relays: also from a leaf to its relay, and from the last relay to its leaf.
 const RELAYED_HOPS: usize = HOPS + 2;
-/// The largest fleet in service, and twice that.
+/// The largest fleet in service, and twice its size.
 const FLEETS: [usize; 2] = [985, 1970];
 const FLEET_DOMAINS: usize = 5;
-/// Part of a core that one node may spend on calls to and from others.
-const CALL_BUDGET: f64 = 0.01;
-/// By which a node's costs may grow when the fleet doubles.
-const MAX_GROWTH: f64 = 1.2;
-/// What one call costs both ends together, in seconds of a core: `call_core` of docs/CAPACITY.md.
-const CALL_COST: f64 = 204e-6;
+/// CPU, in cores, that one node may spend on calls to and from others.
+const MAX_CALL_CORES: f64 = 0.01;
+/// Maximum growth factor of a node's costs when the fleet doubles.
+const MAX_COST_RATIO: f64 = 1.2;
+/// CPU seconds of one call at both ends together: `call_core` of docs/CAPACITY.md.
+const CALL_CPU_SECONDS: f64 = 204e-6;
 
 fn overlay(list: &[Member]) -> Overlay {
     Overlay::new(list.iter().map(|m| (&m.id, &m.failure_domain)))
 }
 
-/// Hands a change of `origin` on until nobody is left; gives hops and copies.
-fn spread(overlay: &Overlay, origin: &NodeId, dead: &BTreeSet<NodeId>) -> (usize, Vec<NodeId>) {
+/// Forwards a change of `origin` through the overlay. Returns the number of hops and the nodes
+/// reached, with duplicates.
+fn broadcast(overlay: &Overlay, origin: &NodeId, dead: &BTreeSet<NodeId>) -> (usize, Vec<NodeId>) {
     let mut reached = vec![origin.clone()];
-    let mut front = vec![origin.clone()];
+    let mut frontier = vec![origin.clone()];
     let mut hops = 0;
     loop {
-        let next: Vec<NodeId> = front
+        let next: Vec<NodeId> = frontier
             .iter()
             .flat_map(|node| overlay.children(node, origin, dead))
             .collect();
@@ -51,7 +51,7 @@
         }
         hops += 1;
         reached.extend(next.iter().cloned());
-        front = next;
+        frontier = next;
     }
 }
 
@@ -61,7 +61,7 @@
         let list = members(count, DOMAINS);
         let overlay = overlay(&list);
         for origin in list.iter().step_by(1 + count / 40) {
-            let (hops, reached) = spread(&overlay, &origin.id, &BTreeSet::new());
+            let (hops, reached) = broadcast(&overlay, &origin.id, &BTreeSet::new());
             let distinct: BTreeSet<&NodeId> = reached.iter().collect();
             assert_that!(distinct.len(), eq(count));
             assert_that!(reached.len(), eq(count));
@@ -70,17 +70,17 @@
     }
 }
 
-/// Hands what some nodes say on and checks that it reaches all but the dead, once.
-fn reaches_the_living_once(count: usize, dead: impl Fn(usize, &Member) -> bool) {
+/// Checks that changes of some origins reach all nodes but the dead ones, once each.
+fn assert_reaches_live_nodes_once(count: usize, dead: impl Fn(usize, &Member) -> bool) {
     let list = members(count, FLEET_DOMAINS);
     let overlay = overlay(&list);
-    let (dead, living): (Vec<_>, Vec<_>) = list.iter().enumerate().partition(|(i, m)| dead(*i, m));
+    let (dead, live): (Vec<_>, Vec<_>) = list.iter().enumerate().partition(|(i, m)| dead(*i, m));
     let dead: BTreeSet<NodeId> = dead.into_iter().map(|(_, m)| m.id.clone()).collect();
-    for (_, origin) in living.iter().step_by(1 + count / 40) {
-        let (hops, reached) = spread(&overlay, &origin.id, &dead);
+    for (_, origin) in live.iter().step_by(1 + count / 40) {
+        let (hops, reached) = broadcast(&overlay, &origin.id, &dead);
         let distinct: BTreeSet<&NodeId> = reached.iter().collect();
-        assert_that!(distinct.len(), eq(living.len()), "of {}", origin.id);
-        assert_that!(reached.len(), eq(living.len()), "of {}", origin.id);
+        assert_that!(distinct.len(), eq(live.len()), "of {}", origin.id);
+        assert_that!(reached.len(), eq(live.len()), "of {}", origin.id);
         assert_that!(hops, le(RELAYED_HOPS));
     }
 }
@@ -88,29 +88,28 @@
 #[gtest]
 fn every_node_of_a_fleet_is_reached_once() {
     for count in FLEETS.into_iter().chain([321, 325, 326, 400]) {
-        reaches_the_living_once(count, |_, _| false);
+        assert_reaches_live_nodes_once(count, |_, _| false);
     }
 }
 
-/// Guards against the leaves of a relay that is gone missing what others say, and others what they
-/// say.
+/// Guards against changes from or to the leaves of a dead relay being lost.
 #[gtest]
-fn the_living_of_a_fleet_are_reached_past_dead_relays() {
+fn live_nodes_of_a_fleet_are_reached_despite_dead_relays() {
     for count in FLEETS {
-        reaches_the_living_once(count, |i, m| i % 5 == 0 || m.failure_domain == "domain-2");
-        reaches_the_living_once(count, |i, _| i % 3 == 0);
+        assert_reaches_live_nodes_once(count, |i, m| i % 5 == 0 || m.failure_domain == "domain-2");
+        assert_reaches_live_nodes_once(count, |i, _| i % 3 == 0);
     }
 }
 
-/// To how many others each node of a failure domain hands on what any node says, sorted.
+/// The number of nodes to which each node of a failure domain forwards changes, sorted.
 fn links_in_a_domain(count: usize) -> Vec<usize> {
     let list = members(count, FLEET_DOMAINS);
     let overlay = overlay(&list);
-    let nobody = BTreeSet::new();
+    let unreachable = BTreeSet::new();
     let in_domain = list.iter().filter(|m| m.failure_domain == "domain-0");
     let links = in_domain.map(|node| {
         let origins = list.iter().map(|origin| &origin.id);
-        let children = origins.flat_map(|origin| overlay.children(&node.id, origin, &nobody));
+        let children = origins.flat_map(|origin| overlay.children(&node.id, origin, &unreachable));
         children.collect::<BTreeSet<_>>().len()
     });
     let mut links: Vec<usize> = links.collect();
@@ -118,22 +117,22 @@
     links
 }
 
-/// Guards against calls between nodes taking up the processor of each node of a large fleet.
+/// Guards against calls between nodes using up the CPU of each node of a large fleet.
 #[gtest]
-fn a_node_of_a_fleet_calls_few_others() {
+fn fleet_nodes_call_few_others() {
     let costs = FLEETS.map(|count| {
         let links = links_in_a_domain(count);
         expect_that!(links[links.len() / 2], eq(1), "{count} nodes");
         expect_that!(links[links.len() - 1], le(48), "{count} nodes");
         let mean = links.iter().sum::<usize>() as f64 / links.len() as f64;
         let ticks = Timing::default().tick_interval.as_secs_f64().recip();
-        mean * ticks * CALL_COST
+        mean * ticks * CALL_CPU_SECONDS
     });
-    expect_that!(costs, each(le(CALL_BUDGET)));
-    expect_that!(costs[1] / costs[0], le(MAX_GROWTH));
+    expect_that!(costs, each(le(MAX_CALL_CORES)));
+    expect_that!(costs[1] / costs[0], le(MAX_COST_RATIO));
 }
 
-/// A node that knows no other.
+/// Starts a node that knows no other.
 fn started(member: &Member, now: Instant) -> Dissemination {
     let cfg = DisseminationConfig {
         me: member.clone(),
@@ -145,11 +144,11 @@
     node
 }
 
-/// Guards against nodes of a fleet taking each other for dead, since no node holds that many.
+/// Guards against nodes considering each other dead because a node can't hold that many origins.
 #[gtest]
-fn a_node_holds_all_nodes_of_a_fleet_that_is_being_replaced() {
+fn node_holds_a_full_fleet_during_replacement() {
     for count in FLEETS {
-        // The successors of a quarter are there before those are forgotten.
+        // The replacements of a quarter of the nodes join before the replaced ones expire.
         let all = count + count / 4;
         let list = members(all, FLEET_DOMAINS);
         let now = Instant::now();
@@ -162,11 +161,11 @@
     }
 }
 
-/// Starts all nodes of a fleet at once, which know three seeds.
+/// Starts all nodes of a fleet at once, with three seeds.
 fn start_together(count: usize) -> Net {
     let list = members(count, FLEET_DOMAINS);
     let mut net = Net::empty(1);
-    net.keep_learned = false;
+    net.record_updates = false;
     net.timing = Timing {
         large_tick_interval: Duration::from_millis(250),
         heartbeat_interval: Duration::from_millis(500),
@@ -178,16 +177,16 @@
     }
     for (i, member) in list.iter().enumerate() {
         for seed in (0..3).filter(|seed| *seed != i) {
-            net.greet(&member.id, &format!("node-{seed}"));
+            net.send_hello(&member.id, &format!("node-{seed}"));
         }
     }
     net
 }
 
-/// Guards against seeds that send the states of all nodes to each node that starts, the square of
-/// the number of nodes, over a slow link.
+/// Guards against seeds sending the states of all nodes to each starting node over a slow link,
+/// which takes bytes quadratic in the number of nodes.
 #[gtest]
-fn a_seed_tells_a_bounded_part_to_each_node_that_starts() {
+fn seed_sends_bounded_state_to_each_starting_node() {
     let sent = FLEETS.map(|count| {
         let list = members(count, FLEET_DOMAINS);
         let now = Instant::now();
@@ -202,14 +201,14 @@
         }
         sent as f64 / count as f64
     });
-    // Within what the slowest link carries in 10 ms.
+    // The slowest link carries this in 10 ms.
     expect_that!(sent, each(le(25_000.0)));
-    expect_that!(sent[1] / sent[0], le(MAX_GROWTH));
+    expect_that!(sent[1] / sent[0], le(MAX_COST_RATIO));
 }
 
-/// Guards against nodes of a fleet that never hear of those that their seeds left out.
+/// Guards against nodes never receiving the states that their seeds left out.
 #[gtest]
-fn nodes_that_start_together_come_to_know_all() {
+fn nodes_that_start_together_discover_all() {
     let count = 200;
     let mut net = start_together(count);
     let all_know_all = |net: &Net| net.nodes.values().all(|n| n.origins().count() == count);
@@ -217,16 +216,16 @@
     expect_that!(took, some(anything()));
 }
 
-/// Guards against a fleet in which nodes come and go laying its overlay out at each flush.
+/// Guards against rebuilding the overlay at each flush while nodes of a fleet start and stop.
 #[gtest]
-fn the_statuses_of_nodes_that_have_their_place_leave_the_overlay_alone() {
+fn status_without_a_position_change_does_not_rebuild_the_overlay() {
     let list = members(30, 3);
     let mut net = Net::new(&[], 1);
     for member in &list {
         net.start(member, 1, &[]);
     }
     for member in &list[1..] {
-        net.greet(&member.id, "node-0");
+        net.send_hello(&member.id, "node-0");
     }
     net.run(Duration::from_secs(3));
     let before = net.node("node-0").overlay_rebuilds();
@@ -242,9 +241,9 @@
 }
 
 #[gtest]
-fn the_living_are_reached_past_the_dead() {
-    // A domain is dark and every fifth node elsewhere is gone. Whoever would have been
-    // served by one of them must be served by somebody else, or would miss changes.
+fn live_nodes_are_reached_despite_dead_nodes() {
+    // With one domain and every fifth node down, the children of dead nodes must be reached
+    // through others.
     let list = members(NODES, DOMAINS);
     let overlay = overlay(&list);
     let dark = |m: &&Member| m.failure_domain == "domain-2";
@@ -256,7 +255,7 @@
         .map(|m| m.id.clone())
         .collect();
     for origin in list.iter().filter(|m| !dead.contains(&m.id)).take(15) {
-        let (_, reached) = spread(&overlay, &origin.id, &dead);
+        let (_, reached) = broadcast(&overlay, &origin.id, &dead);
         let distinct: BTreeSet<&NodeId> = reached.iter().collect();
         assert_that!(distinct.len(), eq(NODES - dead.len()));
         assert_that!(reached.len(), eq(NODES - dead.len()));
@@ -264,7 +263,7 @@
 }
 
 #[gtest]
-fn no_node_has_more_links_than_the_pool_of_connections() {
+fn links_per_node_fit_the_connection_pool() {
     let list = members(NODES, DOMAINS);
     let overlay = overlay(&list);
     for node in list.iter().step_by(9) {
@@ -277,10 +276,10 @@
 }
 
 #[gtest]
-fn urgent_changes_reach_370_nodes_within_a_flush_for_each_hop() {
+fn urgent_changes_reach_370_nodes_within_one_flush_per_hop() {
     let list = members(NODES, DOMAINS);
     let mut net = Net::new(&list, 1);
-    net.keep_learned = false;
+    net.record_updates = false;
     net.run(Duration::from_millis(1500));
     let flush = Timing::default().flush_interval;
     let bound = (flush + Duration::from_millis(20)) * HOPS as u32;
--- a/crates/peer/tests/support/cluster.rs
+++ b/crates/peer/tests/support/cluster.rs
@@ -14,7 +14,7 @@
 
 use super::net::status;
 
-/// Keeps what it is told, and answers from what the test gave it.
+/// Records updates, and serves the configurations that the test sets.
 #[derive(Default)]
 pub(crate) struct Recorder {
     pub(crate) updates: Mutex<Vec<(Instant, Update)>>,
@@ -22,7 +22,7 @@
 }
 
 impl Recorder {
-    pub(crate) fn put_text(&self, version: u64, text: &str) {
+    pub(crate) fn set_text(&self, version: u64, text: &str) {
         let config = ConfigText {
             version,
             checksum: checksum(text),
@@ -56,7 +56,7 @@
         [b"events for ", query].concat()
     }
 
-    /// Answers after the time that the request may wait.
+    /// Replies after the request's wait time.
     async fn schedule(&self, req: ScheduleRequest) -> ScheduleReply {
         let wait_ms = req.slot_request.map_or(0, |slot| slot.wait_ms);
         tokio::time::sleep(Duration::from_millis(wait_ms.into())).await;
@@ -78,8 +78,8 @@
     }
 }
 
-/// One node and what the test holds of it.
-pub(crate) struct Running {
+/// A running node with its handler and blocked peers.
+pub(crate) struct RunningNode {
     pub(crate) member: Member,
     pub(crate) handler: Arc<Recorder>,
     pub(crate) blocked_peers: BlockedPeers,
@@ -88,11 +88,11 @@
 
 pub(crate) struct Cluster {
     pub(crate) runtime: tokio::runtime::Runtime,
-    pub(crate) nodes: BTreeMap<NodeId, Running>,
+    pub(crate) nodes: BTreeMap<NodeId, RunningNode>,
 }
 
 impl Cluster {
-    /// `count` nodes that know each other.
+    /// Starts `count` nodes that know each other.
     pub(crate) fn start(count: usize) -> Cluster {
         let mut cluster = Cluster {
             runtime: tokio::runtime::Builder::new_multi_thread()
@@ -105,11 +105,11 @@
         for i in 0..count {
             cluster.add(&format!("node-{i}"), 1, &[]);
         }
-        cluster.introduce();
+        cluster.set_members();
         cluster
     }
 
-    /// Starts one node, which knows only the seeds.
+    /// Starts one node that knows only the seeds.
     pub(crate) fn add(&mut self, name: &str, incarnation: u64, seeds: &[&str]) {
         let seeds = seeds
             .iter()
@@ -148,7 +148,7 @@
         .expect("the node starts");
         member.address = node.local_address().to_string().into();
         node.publish(status(&member));
-        let running = Running {
+        let running = RunningNode {
             member,
             handler,
             blocked_peers,
@@ -157,8 +157,8 @@
         self.nodes.insert(name.into(), running);
     }
 
-    /// Gives all nodes the list of all.
-    pub(crate) fn introduce(&self) {
+    /// Sets the list of all nodes at each node.
+    pub(crate) fn set_members(&self) {
         let list: Vec<Member> = self.nodes.values().map(|n| n.member.clone()).collect();
         for running in self.nodes.values() {
             running.node.set_members(list.iter().cloned());
@@ -179,15 +179,15 @@
         self.nodes.keys().all(|node| self.holds(node, origin, item))
     }
 
-    /// Makes `a` and `b` refuse each other, both ways.
-    pub(crate) fn cut(&self, a: &str, b: &str) {
+    /// Blocks calls between `a` and `b` in both directions.
+    pub(crate) fn block(&self, a: &str, b: &str) {
         self.nodes[a].blocked_peers.set([b.into()]);
         self.nodes[b].blocked_peers.set([a.into()]);
     }
 }
 
-/// Waits until `done` holds; how long it took, or `None` after `limit`.
-pub(crate) fn wait(limit: Duration, mut done: impl FnMut() -> bool) -> Option<Duration> {
+/// Waits until `done` returns true. Returns the elapsed time, or `None` after `limit`.
+pub(crate) fn wait_until(limit: Duration, mut done: impl FnMut() -> bool) -> Option<Duration> {
     let began = Instant::now();
     while !done() {
         if began.elapsed() >= limit {
--- a/crates/peer/tests/support/mod.rs
+++ b/crates/peer/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of this crate share.
+//! Helpers shared by the tests of this crate.
 #![allow(dead_code)]
 
 pub(crate) mod cluster;
--- a/crates/peer/tests/support/net.rs
+++ b/crates/peer/tests/support/net.rs
@@ -1,7 +1,7 @@
-//! Dissemination between many nodes in one thread and in virtual time.
+//! Simulates dissemination between many nodes in one thread and in virtual time.
 //!
-//! A loop and a queue, to test this protocol only: calls are lost or refused by
-//! rule, and batches are delayed, doubled and reordered by a seeded generator.
+//! Calls fail on cut links, and packets are dropped, delayed, duplicated and reordered
+//! by a seeded generator.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -13,44 +13,44 @@
 };
 use prost::Message;
 
-/// The loop moves in steps of this length.
+/// Step of the virtual time.
 pub(crate) const STEP: Duration = Duration::from_millis(10);
 
-/// What travels: batches as bytes, and word of a call that failed.
+/// A packet: an encoded batch, or the failure of a call.
 #[derive(Clone)]
-enum Parcel {
+enum Packet {
     Request(Vec<u8>),
-    Answer(Vec<u8>),
+    Reply(Vec<u8>),
     Failure,
 }
 
-/// What a node sent and received: batches, bytes of batches.
+/// Calls, bytes of batches and busy time of a node.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Tally {
+pub(crate) struct NodeStats {
     pub(crate) calls: u64,
     pub(crate) sent: u64,
     pub(crate) received: u64,
-    /// Spent in the node's own code and in encoding and decoding.
+    /// Time spent in the node's code and in encoding and decoding.
     pub(crate) busy: Duration,
 }
 
-/// How the network behaves.
+/// Conditions of the simulated network.
 #[derive(Clone, Debug)]
-pub(crate) struct Behaviour {
-    /// One way; a random part of it is added again.
+pub(crate) struct NetworkConditions {
+    /// One-way latency; up to the same again is added at random.
     pub(crate) latency: Duration,
-    /// Requests and answers lost without a word, of 1.
+    /// Fraction of requests and replies that are dropped.
     pub(crate) loss: f64,
-    /// Requests and answers that come twice, of 1.
-    pub(crate) doubled: f64,
+    /// Fraction of requests and replies that are duplicated.
+    pub(crate) duplication: f64,
 }
 
-impl Default for Behaviour {
-    fn default() -> Behaviour {
-        Behaviour {
+impl Default for NetworkConditions {
+    fn default() -> NetworkConditions {
+        NetworkConditions {
             latency: Duration::from_millis(1),
             loss: 0.0,
-            doubled: 0.0,
+            duplication: 0.0,
         }
     }
 }
@@ -58,17 +58,17 @@
 pub(crate) struct Net {
     pub(crate) now: Instant,
     pub(crate) nodes: BTreeMap<NodeId, Dissemination>,
-    pub(crate) learned: BTreeMap<NodeId, Vec<(Instant, Update)>>,
-    pub(crate) tally: BTreeMap<NodeId, Tally>,
-    pub(crate) behaviour: Behaviour,
-    /// Of the nodes that are started.
+    pub(crate) updates: BTreeMap<NodeId, Vec<(Instant, Update)>>,
+    pub(crate) stats: BTreeMap<NodeId, NodeStats>,
+    pub(crate) conditions: NetworkConditions,
+    /// Timing of the nodes to start.
     pub(crate) timing: Timing,
-    /// Whether what nodes learn is kept in `learned`.
-    pub(crate) keep_learned: bool,
+    /// Whether received updates are kept in `updates`.
+    pub(crate) record_updates: bool,
     cut: BTreeSet<(NodeId, NodeId)>,
-    queue: BTreeMap<(Instant, u64), (NodeId, NodeId, Parcel)>,
+    queue: BTreeMap<(Instant, u64), (NodeId, NodeId, Packet)>,
     next_flush: BTreeMap<NodeId, Instant>,
-    posted: u64,
+    last_seq: u64,
     rng: fastrand::Rng,
 }
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// `count` nodes spread evenly over `domains` failure domains.
+/// `count` nodes distributed evenly over `domains` failure domains.
 pub(crate) fn members(count: usize, domains: usize) -> Vec<Member> {
     (0..count)
         .map(|i| member(&format!("node-{i}"), &format!("domain-{}", i % domains)))
@@ -100,12 +100,12 @@
     })
 }
 
-fn decoded(bytes: &[u8]) -> Batch {
+fn decode(bytes: &[u8]) -> Batch {
     Batch::decode(bytes).expect("a batch as it was sent")
 }
 
 impl Net {
-    /// Nodes that all have the same list of members and have published their status.
+    /// Starts nodes that have the same list of members and have published their status.
     pub(crate) fn new(members: &[Member], seed: u64) -> Net {
         let mut net = Net::empty(seed);
         for member in members {
@@ -118,20 +118,20 @@
         Net {
             now: Instant::now() + Duration::from_secs(7200),
             nodes: BTreeMap::new(),
-            learned: BTreeMap::new(),
-            tally: BTreeMap::new(),
-            behaviour: Behaviour::default(),
+            updates: BTreeMap::new(),
+            stats: BTreeMap::new(),
+            conditions: NetworkConditions::default(),
             timing: Timing::default(),
-            keep_learned: true,
+            record_updates: true,
             cut: BTreeSet::new(),
             queue: BTreeMap::new(),
             next_flush: BTreeMap::new(),
-            posted: 0,
+            last_seq: 0,
             rng: fastrand::Rng::with_seed(seed),
         }
     }
 
-    /// Starts a node, or starts it again with nothing kept.
+    /// Starts or restarts a node without any state.
     pub(crate) fn start(&mut self, member: &Member, incarnation: u64, list: &[Member]) {
         let cfg = DisseminationConfig {
             me: member.clone(),
@@ -142,8 +142,8 @@
         node.set_members(list.iter().cloned(), self.now);
         node.publish(status(member), self.now);
         self.nodes.insert(member.id.clone(), node);
-        self.learned.insert(member.id.clone(), Vec::new());
-        self.tally.insert(member.id.clone(), Tally::default());
+        self.updates.insert(member.id.clone(), Vec::new());
+        self.stats.insert(member.id.clone(), NodeStats::default());
         let phase = Duration::from_millis(self.rng.u64(0..5) * 10);
         self.next_flush.insert(member.id.clone(), self.now + phase);
     }
@@ -153,7 +153,7 @@
     }
 
     /// Fails all calls between the nodes of `side` and all others.
-    pub(crate) fn part(&mut self, side: &[NodeId]) {
+    pub(crate) fn partition(&mut self, side: &[NodeId]) {
         for a in side {
             for b in self.nodes.keys().filter(|node| !side.contains(node)) {
                 self.cut.insert((a.clone(), b.clone()));
@@ -181,14 +181,14 @@
         self.nodes.get_mut(node).expect("the node runs")
     }
 
-    /// Has a new node say hello to a seed.
-    pub(crate) fn greet(&mut self, node: &str, seed: &str) {
+    /// Sends a new node's hello to a seed.
+    pub(crate) fn send_hello(&mut self, node: &str, seed: &str) {
         let now = self.now;
         let hello = self.node(node).hello(now);
-        self.post(
+        self.send(
             node.into(),
             seed.into(),
-            Parcel::Request(hello.encode_to_vec()),
+            Packet::Request(hello.encode_to_vec()),
         );
     }
 
@@ -199,7 +199,7 @@
         }
     }
 
-    /// Runs until `done` holds and gives the time it took; `None` after `limit`.
+    /// Runs until `done` returns true. Returns the elapsed time, or `None` after `limit`.
     pub(crate) fn run_until(
         &mut self,
         limit: Duration,
@@ -231,13 +231,13 @@
         let began = Instant::now();
         let output = self.node(name).tick(now);
         let encoded = |(to, batch): (NodeId, Batch)| (to, batch.encode_to_vec());
-        let parcels: Vec<(NodeId, Vec<u8>)> = output.batches.into_iter().map(encoded).collect();
-        self.spent(name, began);
+        let requests: Vec<(NodeId, Vec<u8>)> = output.batches.into_iter().map(encoded).collect();
+        self.add_busy_time(name, began);
         let flush = Timing::default().flush_interval;
         self.next_flush.insert(name.clone(), now + flush);
-        self.learn(name, output.updates);
-        for (to, bytes) in parcels {
-            self.post(name.clone(), to, Parcel::Request(bytes));
+        self.add_updates(name, output.updates);
+        for (to, bytes) in requests {
+            self.send(name.clone(), to, Packet::Request(bytes));
         }
     }
 
@@ -246,93 +246,93 @@
             if entry.key().0 > self.now {
                 return;
             }
-            let (from, to, parcel) = entry.remove();
-            self.deliver(from, to, parcel);
+            let (from, to, packet) = entry.remove();
+            self.deliver(from, to, packet);
         }
     }
 
-    fn deliver(&mut self, from: NodeId, to: NodeId, parcel: Parcel) {
+    fn deliver(&mut self, from: NodeId, to: NodeId, packet: Packet) {
         let now = self.now;
         let Some(node) = self.nodes.get_mut(&to) else {
-            if matches!(parcel, Parcel::Request(_)) {
-                self.post(to, from, Parcel::Failure);
+            if matches!(packet, Packet::Request(_)) {
+                self.send(to, from, Packet::Failure);
             }
             return;
         };
-        match parcel {
-            Parcel::Failure => node.on_call_failed(&from, now),
-            Parcel::Answer(bytes) => {
+        match packet {
+            Packet::Failure => node.on_call_failed(&from, now),
+            Packet::Reply(bytes) => {
                 let began = Instant::now();
-                let updates = node.receive(&from, decoded(&bytes), now);
-                self.spent(&to, began);
-                self.learn(&to, updates);
+                let updates = node.receive(&from, decode(&bytes), now);
+                self.add_busy_time(&to, began);
+                self.add_updates(&to, updates);
             }
-            Parcel::Request(bytes) => {
+            Packet::Request(bytes) => {
                 let began = Instant::now();
-                let updates = node.receive(&from, decoded(&bytes), now);
+                let updates = node.receive(&from, decode(&bytes), now);
                 let answer = node.answer(&from, now).encode_to_vec();
-                self.spent(&to, began);
-                self.learn(&to, updates);
-                self.post(to, from, Parcel::Answer(answer));
+                self.add_busy_time(&to, began);
+                self.add_updates(&to, updates);
+                self.send(to, from, Packet::Reply(answer));
             }
         }
     }
 
-    fn spent(&mut self, node: &NodeId, began: Instant) {
-        if let Some(tally) = self.tally.get_mut(node) {
-            tally.busy += began.elapsed();
+    fn add_busy_time(&mut self, node: &NodeId, began: Instant) {
+        if let Some(stats) = self.stats.get_mut(node) {
+            stats.busy += began.elapsed();
         }
     }
 
-    fn learn(&mut self, node: &NodeId, updates: Vec<Update>) {
-        if !self.keep_learned {
+    fn add_updates(&mut self, node: &NodeId, updates: Vec<Update>) {
+        if !self.record_updates {
             return;
         }
         let now = self.now;
-        if let Some(learned) = self.learned.get_mut(node) {
-            learned.extend(updates.into_iter().map(|update| (now, update)));
+        if let Some(received) = self.updates.get_mut(node) {
+            received.extend(updates.into_iter().map(|update| (now, update)));
         }
     }
 
-    fn post(&mut self, from: NodeId, to: NodeId, parcel: Parcel) {
-        self.count(&from, &to, &parcel);
+    fn send(&mut self, from: NodeId, to: NodeId, packet: Packet) {
+        self.count(&from, &to, &packet);
         let cut = self.cut.contains(&(from.clone(), to.clone()));
-        if cut && matches!(parcel, Parcel::Request(_)) {
-            self.enqueue(to, from, Parcel::Failure);
+        if cut && matches!(packet, Packet::Request(_)) {
+            self.enqueue(to, from, Packet::Failure);
             return;
         }
-        if cut || self.chance(self.behaviour.loss) && !matches!(parcel, Parcel::Failure) {
+        if cut || self.chance(self.conditions.loss) && !matches!(packet, Packet::Failure) {
             return;
         }
-        if self.chance(self.behaviour.doubled) {
-            self.enqueue(from.clone(), to.clone(), parcel.clone());
+        if self.chance(self.conditions.duplication) {
+            self.enqueue(from.clone(), to.clone(), packet.clone());
         }
-        self.enqueue(from, to, parcel);
+        self.enqueue(from, to, packet);
     }
 
     fn chance(&mut self, share: f64) -> bool {
         share > 0.0 && self.rng.f64() < share
     }
 
-    fn enqueue(&mut self, from: NodeId, to: NodeId, parcel: Parcel) {
-        let latency = self.behaviour.latency;
+    fn enqueue(&mut self, from: NodeId, to: NodeId, packet: Packet) {
+        let latency = self.conditions.latency;
         let at = self.now + latency + latency.mul_f64(self.rng.f64());
-        self.posted += 1;
-        self.queue.insert((at, self.posted), (from, to, parcel));
+        self.last_seq += 1;
+        self.queue.insert((at, self.last_seq), (from, to, packet));
     }
 
-    fn count(&mut self, from: &NodeId, to: &NodeId, parcel: &Parcel) {
-        let (calls, bytes) = match parcel {
-            Parcel::Request(bytes) => (1, bytes.len() as u64),
-            Parcel::Answer(bytes) => (0, bytes.len() as u64),
-            Parcel::Failure => return,
+    fn count(&mut self, from: &NodeId, to: &NodeId, packet: &Packet) {
+        let (calls, bytes) = match packet {
+            Packet::Request(bytes) => (1, bytes.len() as u64),
+            Packet::Reply(bytes) => (0, bytes.len() as u64),
+            Packet::Failure => return,
         };
-        if let Some(tally) = self.tally.get_mut(from) {
-            tally.calls += calls;
-            tally.sent += bytes;
+        if let Some(stats) = self.stats.get_mut(from) {
+            stats.calls += calls;
+            stats.sent += bytes;
         }
-        if let Some(tally) = self.tally.get_mut(to) {
-            tally.received += bytes;
+        if let Some(stats) = self.stats.get_mut(to) {
+            stats.received += bytes;
         }
     }
 
@@ -343,7 +343,7 @@
             .all(|node| node.items_of(origin).any(|(held, _, _)| held == item))
     }
 
-    /// What `node` holds of all origins, without times.
+    /// The items that `node` holds of all origins, without times.
     pub(crate) fn view(&self, node: &str) -> BTreeMap<(NodeId, ItemKey), (u64, Item)> {
         let node = &self.nodes[node];
         let origins: Vec<NodeId> = node.origins().map(|(id, _, _)| id.clone()).collect();
@@ -356,8 +356,8 @@
         view
     }
 
-    /// Whether all nodes hold the same.
-    pub(crate) fn agree(&self) -> bool {
+    /// Whether all nodes hold the same items.
+    pub(crate) fn has_converged(&self) -> bool {
         let mut names = self.nodes.keys();
         let Some(first) = names.next().map(|name| self.view(name)) else {
             return true;
@@ -365,14 +365,19 @@
         names.all(|name| self.view(name) == first)
     }
 
-    /// When `node` first learned of `item` from `origin`.
-    pub(crate) fn learned_at(&self, node: &str, origin: &str, item: &Item) -> Option<Instant> {
+    /// When `node` first received `item` from `origin`.
+    pub(crate) fn first_received_at(
+        &self,
+        node: &str,
+        origin: &str,
+        item: &Item,
+    ) -> Option<Instant> {
         let is_it = |update: &Update| {
             update.origin == origin
                 && matches!(&update.change, Change::Put { item: put, .. } if put == item)
         };
-        let learned = &self.learned[node];
-        learned
+        let updates = &self.updates[node];
+        updates
             .iter()
             .find(|(_, update)| is_it(update))
             .map(|(at, _)| *at)
