--- a/crates/peer/src/dissemination/membership.rs
+++ b/crates/peer/src/dissemination/membership.rs
@@ -150,14 +150,14 @@
         let silent = |confirmed: Instant| {
             now.saturating_duration_since(confirmed) >= self.cfg.timing.expire_after
         };
-        let gone: Vec<NodeId> = self
+        let expired: Vec<NodeId> = self
             .states
             .iter()
             .filter(|(id, state)| **id != self.cfg.me.id && silent(state.confirmed()))
             .map(|(id, _)| id.clone())
             .collect();
         let mut updates = Vec::new();
-        for origin in gone {
+        for origin in expired {
             updates.extend(self.drop_origin(&origin, now));
         }
         self.lost_nodes.expire(now);
--- a/crates/peer/src/dissemination/send.rs
+++ b/crates/peer/src/dissemination/send.rs
@@ -92,7 +92,7 @@
     }
 
     /// The reply to a batch from `to` with what is pending for it; empty if nothing is.
-    pub fn answer(&mut self, to: &NodeId, now: Instant) -> Batch {
+    pub fn reply(&mut self, to: &NodeId, now: Instant) -> Batch {
         if !self.pending.contains_key(to) {
             return Batch::default();
         }
--- a/crates/peer/src/node.rs
+++ b/crates/peer/src/node.rs
@@ -34,7 +34,7 @@
 /// Maximum number of batches in flight to one node.
 const MAX_IN_FLIGHT_BATCHES: usize = 4;
 /// Maximum number of batches whose updates are queued for the handler.
-const MAX_QUEUED_UPDATES: usize = 1024;
+const MAX_QUEUED_BATCHES: usize = 1024;
 /// How often a node that knows no other sends a hello to the seeds: of nodes that start
 /// together the seeds may be the last.
 const HELLO_INTERVAL: Duration = Duration::from_millis(200);
@@ -171,7 +171,7 @@
         listener.set_nonblocking(true).map_err(PeerError::Listen)?;
         let local_address = listener.local_addr().map_err(PeerError::Listen)?;
         cfg.dissemination.me.address = local_address.to_string().into();
-        let (update_queue, queued) = mpsc::channel(MAX_QUEUED_UPDATES);
+        let (update_queue, queued) = mpsc::channel(MAX_QUEUED_BATCHES);
         let inner = Arc::new(Inner::new(cfg, handler, blocked_peers, update_queue));
         let (stop, stopped) = watch::channel(false);
         {
@@ -380,7 +380,7 @@
         let mut state = self.state();
         let now = Instant::now();
         let updates = state.receive(from, batch, now);
-        let mut reply = state.answer(from, now);
+        let mut reply = state.reply(from, now);
         permit.send(updates);
         drop(state);
         self.set_timestamp(&mut reply);
--- a/crates/peer/tests/reordering.rs
+++ b/crates/peer/tests/reordering.rs
@@ -144,8 +144,8 @@
         let hello = b.hello(now);
         let to = NodeId::from("b");
         a.receive(&to, hello, now);
-        let answer = a.answer(&to, now);
-        b.receive(&from, answer, now);
+        let reply = a.reply(&to, now);
+        b.receive(&from, reply, now);
         let (final_incarnation, held) = view(&b);
         let (own_incarnation, published) = view(&a);
         prop_assert_eq!(final_incarnation, own_incarnation);
--- a/crates/peer/tests/scale.rs
+++ b/crates/peer/tests/scale.rs
@@ -196,8 +196,8 @@
         let mut sent = 0;
         for (node, member) in nodes.zip(&list[1..]) {
             seed.receive(&member.id, node.hello(now), now);
-            let answer = seed.answer(&member.id, now).encoded_len();
-            sent += if far(member) { answer } else { 0 };
+            let reply = seed.reply(&member.id, now).encoded_len();
+            sent += if far(member) { reply } else { 0 };
         }
         sent as f64 / count as f64
     });
--- a/crates/peer/tests/support/net.rs
+++ b/crates/peer/tests/support/net.rs
@@ -270,10 +270,10 @@
             Packet::Request(bytes) => {
                 let began = Instant::now();
                 let updates = node.receive(&from, decode(&bytes), now);
-                let answer = node.answer(&from, now).encode_to_vec();
+                let reply = node.reply(&from, now).encode_to_vec();
                 self.add_busy_time(&to, began);
                 self.add_updates(&to, updates);
-                self.send(to, from, Packet::Reply(answer));
+                self.send(to, from, Packet::Reply(reply));
             }
         }
     }
