--- a/crates/peer/examples/capacity/policy.rs
+++ b/crates/peer/examples/capacity/policy.rs
@@ -209,24 +209,24 @@
     for groups in GROUPS {
         let n = groups as f64;
         state.push((n, heap_bytes(|| view(groups, now))));
-        let calm = view(groups, now);
+        let healthy = view(groups, now);
         core.push((
             n,
-            seconds(20, || drop(black_box(plan(&calm, &policy, now)))),
+            seconds(20, || drop(black_box(plan(&healthy, &policy, now)))),
         ));
-        let mut hit = view(groups, now);
+        let mut degraded = view(groups, now);
         let later = now + Duration::from_secs(30);
         for index in 0..groups {
             let row = group_row(index, HOSTS_PER_GROUP);
             let silent = usize::from(index.is_multiple_of(10));
             for member in silent..row.members.len() {
-                hit.on_report(&report_of(&row, member), later);
+                degraded.on_report(&report_of(&row, member), later);
             }
-            hit.on_serving(&row.group, row.epoch, silent == 0, None, later);
+            degraded.on_serving(&row.group, row.epoch, silent == 0, None, later);
         }
         broken.push((
             n,
-            seconds(20, || drop(black_box(plan(&hit, &policy, later)))),
+            seconds(20, || drop(black_box(plan(&degraded, &policy, later)))),
         ));
     }
     line("plan, calm", &core);
--- a/crates/peer/examples/capacity/rows.rs
+++ b/crates/peer/examples/capacity/rows.rs
@@ -46,12 +46,12 @@
         incarnation: INCARNATION,
     };
     inputs.planner_row = fixed("planner_row", row_bytes(&planner_key("region-0"), &planner));
-    let told = [2, 4, 8].map(|hosts| {
+    let published = [2, 4, 8].map(|hosts| {
         let row = group_row(17, hosts);
         let entries: Vec<HostEntry> = (0..hosts as usize).map(host_entry).collect();
         (f64::from(hosts), json_bytes(&(row, entries)))
     });
-    inputs.group_item = line("group_item", &told);
+    inputs.group_item = line("group_item", &published);
     inputs.quota_demand = fixed("quota_demand", demand_bytes());
     let claim = ClaimRow {
         fingerprint: fingerprint("POST", "/services/booking/refund", b"{}"),
--- a/crates/peer/examples/capacity/transport.rs
+++ b/crates/peer/examples/capacity/transport.rs
@@ -179,7 +179,7 @@
     let mut buf = [0; 1024];
     while !head.ends_with(b"\r\n\r\n") {
         let read = stream.read(&mut buf).expect("a request");
-        assert!(read > 0, "a whole request");
+        assert!(read > 0, "a complete request");
         head.extend_from_slice(&buf[..read]);
     }
     head.len()
--- a/crates/peer/src/overlay.rs
+++ b/crates/peer/src/overlay.rs
@@ -67,12 +67,12 @@
         }
     }
 
-    fn relays(&self) -> usize {
+    fn relay_count(&self) -> usize {
         self.nodes.len().div_ceil(self.relay_stride)
     }
 
     /// The index among relays of the relay of the node at `index`.
-    fn relay_for(&self, index: usize) -> usize {
+    fn relay_index(&self, index: usize) -> usize {
         index / self.relay_stride
     }
 
@@ -92,10 +92,10 @@
     /// Builds the rings of `nodes`, whose order does not matter.
     pub fn new<'a>(nodes: impl IntoIterator<Item = (&'a NodeId, &'a FailureDomain)>) -> Overlay {
         let nodes: BTreeMap<&NodeId, &FailureDomain> = nodes.into_iter().collect();
-        let mesh = nodes.len() <= MAX_MESH_NODES;
+        let is_mesh = nodes.len() <= MAX_MESH_NODES;
         let mut by_domain: BTreeMap<&str, Vec<NodeId>> = BTreeMap::new();
         for (&node, &domain) in &nodes {
-            let domain = if mesh { "" } else { domain.as_str() };
+            let domain = if is_mesh { "" } else { domain.as_str() };
             by_domain.entry(domain).or_default().push(node.clone());
         }
         let rings = by_domain.into_iter();
@@ -103,7 +103,7 @@
             .map(|(domain, nodes)| Ring::new(domain, nodes))
             .collect();
         let positions = ring_positions(&rings);
-        let fan_out = if mesh { MAX_MESH_NODES } else { FAN_OUT };
+        let fan_out = if is_mesh { MAX_MESH_NODES } else { FAN_OUT };
         Overlay {
             rings,
             positions,
@@ -173,7 +173,7 @@
             return targets;
         };
         let ring = &self.rings[own.domain];
-        let my_relay = ring.relay_for(own.index);
+        let my_relay = ring.relay_index(own.index);
         if !own.index.is_multiple_of(ring.relay_stride) {
             if me != origin {
                 return targets;
@@ -185,11 +185,11 @@
             }
         }
         let root = self.root(origin, own.domain);
-        let offset = (my_relay + ring.relays() - root) % ring.relays();
+        let offset = (my_relay + ring.relay_count() - root) % ring.relay_count();
         self.add_children(own.domain, root, offset, unreachable, &mut targets);
         let position = self.positions.get(origin);
         let is_relay_of_origin =
-            |o: &RingPosition| o.domain == own.domain && ring.relay_for(o.index) == my_relay;
+            |o: &RingPosition| o.domain == own.domain && ring.relay_index(o.index) == my_relay;
         if position.is_some_and(is_relay_of_origin) {
             self.add_partners(origin, own.domain, unreachable, &mut targets);
         }
@@ -205,7 +205,7 @@
             Some(position) => position.index % size,
             None => (stable_hash([origin.as_str()]) % size as u64) as usize,
         };
-        ring.relay_for(index)
+        ring.relay_index(index)
     }
 
     /// Adds the nodes to which the relay at `offset` from `root` forwards: its leaves and its
@@ -219,7 +219,7 @@
         targets: &mut Targets,
     ) {
         let ring = &self.rings[domain];
-        let relays = ring.relays();
+        let relays = ring.relay_count();
         let leaves = ring.leaves((root + offset) % relays).iter();
         targets.extend(leaves.filter(|leaf| !unreachable.contains(*leaf)).cloned());
         let mut step = 1;
--- a/crates/peer/tests/nodes.rs
+++ b/crates/peer/tests/nodes.rs
@@ -37,7 +37,7 @@
     );
     let is_handled = || {
         let updates = cluster.nodes["node-0"].handler.updates.lock();
-        let updates = updates.expect("the lock is whole");
+        let updates = updates.expect("the lock isn't poisoned");
         updates
             .iter()
             .any(|(_, u)| matches!(&u.change, Change::Put { item: put, .. } if *put == item))
@@ -180,19 +180,19 @@
     let long: String = (0..2000).map(|i| format!("key-{i} = väl\n")).collect();
     let serving = &cluster.nodes["node-1"].handler;
     serving.set_text(1, &long);
-    let whole = cluster
+    let full = cluster
         .runtime
         .block_on(here.fetch_config(&other, None, LIMIT))
         .expect("it answers");
-    expect_that!(whole.text, eq(&long));
-    expect_that!(whole.author, eq("ada"));
+    expect_that!(full.text, eq(&long));
+    expect_that!(full.author, eq("ada"));
 
     let next = long.replace("key-1000 = väl", "key-1000 = vål");
     serving.set_text(2, &next);
     let before = cluster.node("node-1").traffic().sent_bytes;
     let changed = cluster
         .runtime
-        .block_on(here.fetch_config(&other, Some(&whole), LIMIT))
+        .block_on(here.fetch_config(&other, Some(&full), LIMIT))
         .expect("it answers");
     let after = cluster.node("node-1").traffic().sent_bytes;
     expect_that!(changed.text, eq(&next));
@@ -245,7 +245,7 @@
     let cluster = Cluster::start(2);
     let here = cluster.node("node-0");
     let other = NodeId::from("node-1");
-    let ask = |wait_ms, timeout| {
+    let call = |wait_ms, timeout| {
         let req = ScheduleRequest {
             slot_request: Some(SlotRequest {
                 wait_ms,
@@ -254,15 +254,15 @@
             from: "node-0".into(),
             ..ScheduleRequest::default()
         };
-        let asked = here.call_scheduler(&other, req, Duration::from_millis(timeout));
-        cluster.runtime.block_on(asked)
+        let called = here.call_scheduler(&other, req, Duration::from_millis(timeout));
+        cluster.runtime.block_on(called)
     };
-    expect_that!(ask(0, 5_000), ok(anything()));
+    expect_that!(call(0, 5_000), ok(anything()));
     let before = here.traffic().connections;
     for _ in 0..5 {
-        expect_that!(ask(60, 30), err(pat!(PeerError::Timeout)));
+        expect_that!(call(60, 30), err(pat!(PeerError::Timeout)));
     }
-    expect_that!(ask(0, 5_000), ok(anything()));
+    expect_that!(call(0, 5_000), ok(anything()));
     expect_that!(here.traffic().connections - before, eq(0));
 }
 
--- a/crates/peer/tests/scale.rs
+++ b/crates/peer/tests/scale.rs
@@ -246,11 +246,11 @@
     // through others.
     let list = members(NODES, DOMAINS);
     let overlay = overlay(&list);
-    let dark = |m: &&Member| m.failure_domain == "domain-2";
+    let in_down_domain = |m: &&Member| m.failure_domain == "domain-2";
     let fifth = list.iter().step_by(5);
     let dead: BTreeSet<NodeId> = list
         .iter()
-        .filter(dark)
+        .filter(in_down_domain)
         .chain(fifth)
         .map(|m| m.id.clone())
         .collect();
