--- a/crates/config/src/keys.rs
+++ b/crates/config/src/keys.rs
@@ -54,13 +54,13 @@
     }
 
     /// What happens when a key is left out.
-    pub enum Absent {
+    pub enum Presence {
         /// It can't be left out.
         Required,
         /// This value counts.
         Default(&'static str),
         /// Another rule counts, said in words.
-        Rule(&'static str),
+        Derived(&'static str),
     }
 
     /// One key.
@@ -70,7 +70,7 @@
         /// What its value must look like.
         pub shape: Shape,
         /// What happens when it is left out.
-        pub absent: Absent,
+        pub presence: Presence,
         /// What it does, in one line.
         pub meaning: &'static str,
     }
@@ -89,7 +89,7 @@
     Key {
         name,
         shape,
-        absent: Absent::Required,
+        presence: Presence::Required,
         meaning,
     }
 }
@@ -104,7 +104,7 @@
     Key {
         name,
         shape,
-        absent: Absent::Default(value),
+        presence: Presence::Default(value),
         meaning,
     }
 }
@@ -113,13 +113,13 @@
 pub const fn optional(
     name: &'static str,
     shape: Shape,
-    rule: &'static str,
+    source: &'static str,
     meaning: &'static str,
 ) -> Key {
     Key {
         name,
         shape,
-        absent: Absent::Rule(rule),
+        presence: Presence::Derived(source),
         meaning,
     }
 }
@@ -158,14 +158,14 @@
     }
 }
 
-impl Absent {
+impl Presence {
     /// As it stands on the reference page.
     pub fn describe(&self) -> &'static str {
         match self {
-            Absent::Required => "required",
-            Absent::Default("") => "none",
-            Absent::Default(value) => value,
-            Absent::Rule(rule) => rule,
+            Presence::Required => "required",
+            Presence::Default("") => "none",
+            Presence::Default(value) => value,
+            Presence::Derived(source) => source,
         }
     }
 }
@@ -186,7 +186,7 @@
                 "| `{}` | {} | {} | {} |\n",
                 key.name,
                 key.shape.describe(),
-                key.absent.describe(),
+                key.presence.describe(),
                 key.meaning
             );
             page.push_str(&line);
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 
 use crate::document::{Entry, Section};
-use crate::keys::{Absent, Key, Shape};
+use crate::keys::{Key, Presence, Shape};
 use crate::problem::Problems;
 use crate::units::{is_name, parse_duration};
 
@@ -59,7 +59,7 @@
 
     fn check_required(&self, problems: &mut Problems) {
         for key in &self.keys {
-            if key.absent == Absent::Required && self.entry(key.name).is_none() {
+            if key.presence == Presence::Required && self.entry(key.name).is_none() {
                 let what = format!(
                     "[{}] has no `{}`, write `{} = ...` with {}",
                     self.section.name,
@@ -91,9 +91,9 @@
         if let Some(entry) = self.entry(name) {
             return Some(&entry.value);
         }
-        match self.key(name).absent {
-            Absent::Default(value) => Some(value),
-            Absent::Required | Absent::Rule(_) => None,
+        match self.key(name).presence {
+            Presence::Default(value) => Some(value),
+            Presence::Required | Presence::Derived(_) => None,
         }
     }
 
