--- a/crates/config/src/keys.rs
+++ b/crates/config/src/keys.rs
@@ -11,7 +11,7 @@
 
 value! {
     /// What a value must look like.
-    pub enum Shape {
+    pub enum ValueType {
         /// A whole number from `min` to `max`.
         Number {
             /// Lowest.
@@ -68,11 +68,11 @@
         /// Its name.
         pub name: &'static str,
         /// What its value must look like.
-        pub shape: Shape,
+        pub value_type: ValueType,
         /// What happens when it is left out.
         pub presence: Presence,
         /// What it does, in one line.
-        pub meaning: &'static str,
+        pub description: &'static str,
     }
 
     /// The keys of one kind of section.
@@ -85,75 +85,75 @@
 }
 
 /// A required key.
-pub const fn required(name: &'static str, shape: Shape, meaning: &'static str) -> Key {
+pub const fn required(name: &'static str, value_type: ValueType, description: &'static str) -> Key {
     Key {
         name,
-        shape,
+        value_type,
         presence: Presence::Required,
-        meaning,
+        description,
     }
 }
 
 /// A key with a default value.
 pub const fn defaulted(
     name: &'static str,
-    shape: Shape,
+    value_type: ValueType,
     value: &'static str,
-    meaning: &'static str,
+    description: &'static str,
 ) -> Key {
     Key {
         name,
-        shape,
+        value_type,
         presence: Presence::Default(value),
-        meaning,
+        description,
     }
 }
 
 /// A key whose absence has a meaning of its own.
 pub const fn optional(
     name: &'static str,
-    shape: Shape,
+    value_type: ValueType,
     source: &'static str,
-    meaning: &'static str,
+    description: &'static str,
 ) -> Key {
     Key {
         name,
-        shape,
+        value_type,
         presence: Presence::Derived(source),
-        meaning,
+        description,
     }
 }
 
-impl Shape {
+impl ValueType {
     /// A number's shape.
-    pub const fn number(min: u64, max: u64) -> Shape {
-        Shape::Number { min, max }
+    pub const fn number(min: u64, max: u64) -> ValueType {
+        ValueType::Number { min, max }
     }
 
     /// A duration's shape.
-    pub const fn duration(min: Duration, max: Duration) -> Shape {
-        Shape::Duration { min, max }
+    pub const fn duration(min: Duration, max: Duration) -> ValueType {
+        ValueType::Duration { min, max }
     }
 
     /// What to write, for errors and for the reference page.
     pub fn describe(&self) -> String {
         match self {
-            Shape::Number { min, max } => format!("a whole number from {min} to {max}"),
-            Shape::Decimal { max } => format!("a number like 0.2 from 0 to {max}"),
-            Shape::Duration { min, max } => format!(
+            ValueType::Number { min, max } => format!("a whole number from {min} to {max}"),
+            ValueType::Decimal { max } => format!("a number like 0.2 from 0 to {max}"),
+            ValueType::Duration { min, max } => format!(
                 "a duration like 250ms, 10s, 10m or 2h, from {} to {}",
                 format_duration(*min),
                 format_duration(*max)
             ),
-            Shape::Choice(words) => words.join(" or "),
-            Shape::Name => "a name of letters, digits, `.`, `_` and `-`, at most 64".to_owned(),
-            Shape::Names { max } => format!("names with commas between them, at most {max}"),
-            Shape::Address => "IP:PORT with a numeric address".to_owned(),
-            Shape::Addresses { max } => {
+            ValueType::Choice(words) => words.join(" or "),
+            ValueType::Name => "a name of letters, digits, `.`, `_` and `-`, at most 64".to_owned(),
+            ValueType::Names { max } => format!("names with commas between them, at most {max}"),
+            ValueType::Address => "IP:PORT with a numeric address".to_owned(),
+            ValueType::Addresses { max } => {
                 format!("IP:PORTs with commas between them, at most {max}")
             }
-            Shape::Sha256 => "a SHA-256 as 64 hexadecimal digits".to_owned(),
-            Shape::Path => "the path of a file".to_owned(),
+            ValueType::Sha256 => "a SHA-256 as 64 hexadecimal digits".to_owned(),
+            ValueType::Path => "the path of a file".to_owned(),
         }
     }
 }
@@ -185,9 +185,9 @@
             let line = format!(
                 "| `{}` | {} | {} | {} |\n",
                 key.name,
-                key.shape.describe(),
+                key.value_type.describe(),
                 key.presence.describe(),
-                key.meaning
+                key.description
             );
             page.push_str(&line);
         }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -24,7 +24,7 @@
 pub use crate::applied::{Applied, OfferError, Offered};
 pub use crate::canonical::{Change, SectionName, canonical, checksum, diff};
 pub use crate::document::{Entry, MAX_TEXT, Section, read_sections};
-pub use crate::keys::{Key, Presence, SectionKeys, Shape, defaulted, optional, required};
+pub use crate::keys::{Key, Presence, SectionKeys, ValueType, defaulted, optional, required};
 pub use crate::model::{
     Config, ModelService, NodeRule, RepairWeight, Service, ServiceKind, TargetRule, Tenant,
 };
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -6,7 +6,7 @@
 use smol_str::SmolStr;
 
 use crate::document::{Entry, Section};
-use crate::keys::{Key, Presence, Shape};
+use crate::keys::{Key, Presence, ValueType};
 use crate::problem::Problems;
 use crate::units::{is_name, parse_duration};
 
@@ -65,7 +65,7 @@
                     self.section.name,
                     key.name,
                     key.name,
-                    key.shape.describe()
+                    key.value_type.describe()
                 );
                 problems.add(self.section.line, what);
             }
@@ -102,14 +102,17 @@
         &self,
         name: &str,
         problems: &mut Problems,
-        parse: impl Fn(&str, &Shape) -> Option<T>,
+        parse: impl Fn(&str, &ValueType) -> Option<T>,
     ) -> Option<T> {
         let text = self.text(name)?;
-        let shape = &self.key(name).shape;
-        let value = parse(text, shape);
+        let value_type = &self.key(name).value_type;
+        let value = parse(text, value_type);
         if value.is_none() {
             let shown: String = text.chars().take(80).collect();
-            let what = format!("`{name} = {shown}` can't be, write {}", shape.describe());
+            let what = format!(
+                "`{name} = {shown}` can't be, write {}",
+                value_type.describe()
+            );
             problems.add(self.line(name), what);
         }
         value
@@ -117,8 +120,8 @@
 
     /// A whole number; `None` when it is left out or wrong.
     pub fn number_or_absent(&self, name: &str, problems: &mut Problems) -> Option<u32> {
-        self.value(name, problems, |text, shape| {
-            let Shape::Number { min, max } = shape else {
+        self.value(name, problems, |text, value_type| {
+            let ValueType::Number { min, max } = value_type else {
                 return None;
             };
             let number: u64 = text.parse().ok()?;
@@ -129,7 +132,7 @@
 
     /// A whole number; the lowest allowed when wrong.
     pub fn number(&self, name: &str, problems: &mut Problems) -> u32 {
-        let Shape::Number { min, .. } = self.key(name).shape else {
+        let ValueType::Number { min, .. } = self.key(name).value_type else {
             return 0;
         };
         let lowest = u32::try_from(min).unwrap_or(u32::MAX);
@@ -138,8 +141,8 @@
 
     /// A number with decimals; zero when wrong.
     pub fn decimal(&self, name: &str, problems: &mut Problems) -> f64 {
-        let found = self.value(name, problems, |text, shape| {
-            let Shape::Decimal { max } = shape else {
+        let found = self.value(name, problems, |text, value_type| {
+            let ValueType::Decimal { max } = value_type else {
                 return None;
             };
             let number: f64 = text.parse().ok()?;
@@ -150,8 +153,8 @@
 
     /// A duration.
     pub fn duration(&self, name: &str, problems: &mut Problems) -> Duration {
-        let found = self.value(name, problems, |text, shape| {
-            let Shape::Duration { min, max } = shape else {
+        let found = self.value(name, problems, |text, value_type| {
+            let ValueType::Duration { min, max } = value_type else {
                 return None;
             };
             parse_duration(text).filter(|d| (*min..=*max).contains(d))
@@ -161,7 +164,7 @@
 
     /// The chosen word, always one of the key's; the first one when wrong.
     pub fn choice(&self, name: &str, problems: &mut Problems) -> &'static str {
-        let Shape::Choice(words) = self.key(name).shape else {
+        let ValueType::Choice(words) = self.key(name).value_type else {
             return "";
         };
         let found = self.value(name, problems, |text, _| words.iter().find(|w| **w == text));
@@ -190,8 +193,8 @@
 
     /// A list of names, each once.
     pub fn names(&self, name: &str, problems: &mut Problems) -> Vec<SmolStr> {
-        let found = self.value(name, problems, |text, shape| {
-            let Shape::Names { max } = shape else {
+        let found = self.value(name, problems, |text, value_type| {
+            let ValueType::Names { max } = value_type else {
                 return None;
             };
             let names = split_list(text);
@@ -223,8 +226,8 @@
 
     /// A list of numeric `IP:PORT`s.
     pub fn addresses(&self, name: &str, problems: &mut Problems) -> Vec<SocketAddr> {
-        let found = self.value(name, problems, |text, shape| {
-            let Shape::Addresses { max } = shape else {
+        let found = self.value(name, problems, |text, value_type| {
+            let ValueType::Addresses { max } = value_type else {
                 return None;
             };
             let items = split_list(text);
--- a/crates/config/src/text_keys.rs
+++ b/crates/config/src/text_keys.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use crate::keys::{Key, SectionKeys, Shape, defaulted, optional, required};
+use crate::keys::{Key, SectionKeys, ValueType, defaulted, optional, required};
 
-const YES_NO: Shape = Shape::Choice(&["yes", "no"]);
+const YES_NO: ValueType = ValueType::Choice(&["yes", "no"]);
 const MAX_LIST: usize = 1_000;
 const SECOND: Duration = Duration::from_secs(1);
 const HOUR: Duration = Duration::from_secs(3_600);
@@ -12,7 +12,7 @@
 
 pub(crate) const FLEET: &[Key] = &[defaulted(
     "repair",
-    Shape::Choice(&["downtime", "stranded"]),
+    ValueType::Choice(&["downtime", "stranded"]),
     "downtime",
     "What repair saves first when it can't have both: group downtime or stranded accelerators.",
 )];
@@ -20,18 +20,18 @@
 pub(crate) const TENANT: &[Key] = &[
     required(
         "token_sha256",
-        Shape::Sha256,
+        ValueType::Sha256,
         "SHA-256 of the tenant's bearer token.",
     ),
     defaulted(
         "weight",
-        Shape::number(1, 10_000),
+        ValueType::number(1, 10_000),
         "1",
         "Its share relative to other tenants'.",
     ),
     defaulted(
         "max_queue",
-        Shape::number(1, 100_000),
+        ValueType::number(1, 100_000),
         "200",
         "Longest queue of its requests at one node and service, in requests.",
     ),
@@ -64,12 +64,12 @@
 pub(crate) const SERVICE: &[Key] = &[
     required(
         KIND,
-        Shape::Choice(&["model", "plain", "adapter"]),
+        ValueType::Choice(&["model", "plain", "adapter"]),
         "What the service is made of.",
     ),
     defaulted(
         "depends_on",
-        Shape::Names { max: MAX_LIST },
+        ValueType::Names { max: MAX_LIST },
         "",
         "Services that must be able to serve for this one to serve.",
     ),
@@ -81,56 +81,56 @@
     ),
     defaulted(
         "keep_answers",
-        Shape::duration(SECOND, DAY),
+        ValueType::duration(SECOND, DAY),
         "10m",
         "How long the answer of a call that runs at most once is kept for repeats.",
     ),
     defaulted(
         "timeout",
-        Shape::duration(SECOND, HOUR),
+        ValueType::duration(SECOND, HOUR),
         "60s",
         "Longest time of a request whose caller names no deadline.",
     ),
     defaulted(
         "max_queue",
-        Shape::number(1, 100_000),
+        ValueType::number(1, 100_000),
         "1000",
         "Longest queue of the service at one node, in requests.",
     ),
 ];
 
 pub(crate) const MODEL: &[Key] = &[
-    required("model", Shape::Name, "The model in the weight store."),
+    required("model", ValueType::Name, "The model in the weight store."),
     required(
         "version",
-        Shape::Name,
+        ValueType::Name,
         "The model's version in the weight store.",
     ),
     required(
         "groups",
-        Shape::number(0, 1_000),
+        ValueType::number(0, 1_000),
         "How many model groups are wanted.",
     ),
     required(
         "hosts_per_group",
-        Shape::number(1, 64),
+        ValueType::number(1, 64),
         "Hosts in each group.",
     ),
     optional(
         "floor",
-        Shape::number(0, 1_000),
+        ValueType::number(0, 1_000),
         "one less than groups",
         "A rollout keeps at least this many groups able to serve.",
     ),
     defaulted(
         "slots",
-        Shape::number(1, 10_000),
+        ValueType::number(1, 10_000),
         "32",
         "Requests that one group runs at a time.",
     ),
     optional(
         "urgent_slots",
-        Shape::number(0, 9_999),
+        ValueType::number(0, 9_999),
         "an eighth of slots",
         "Slots of each group that only urgent requests may use.",
     ),
@@ -139,12 +139,12 @@
 pub(crate) const PLAIN: &[Key] = &[
     required(
         "targets",
-        Shape::Names { max: MAX_LIST },
+        ValueType::Names { max: MAX_LIST },
         "The hosts that run it.",
     ),
     defaulted(
         "slots",
-        Shape::number(1, 10_000),
+        ValueType::number(1, 10_000),
         "32",
         "Calls that one target runs at a time.",
     ),
@@ -153,12 +153,12 @@
 pub(crate) const ADAPTER: &[Key] = &[
     required(
         "base",
-        Shape::Name,
+        ValueType::Name,
         "The model service whose groups serve it.",
     ),
     required(
         "adapter",
-        Shape::Name,
+        ValueType::Name,
         "The adapter's name in the weight store.",
     ),
 ];
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -5,14 +5,14 @@
 use std::time::Duration;
 
 use eelgrassmill_config::{
-    ConfigErrors, Key, Problems, Reader, SectionKeys, Sections, Shape, defaulted, required,
+    ConfigErrors, Key, Problems, Reader, SectionKeys, Sections, ValueType, defaulted, required,
 };
 
 use crate::config::{Addresses, GatewayConfig, RetryBudgetConfig};
 
 const MILLI: Duration = Duration::from_millis(1);
 const HOUR: Duration = Duration::from_secs(3_600);
-const TIME: Shape = Shape::duration(MILLI, HOUR);
+const TIME: ValueType = ValueType::duration(MILLI, HOUR);
 const MAX_SEEDS: usize = 64;
 const MAX_CORES: u64 = 1024;
 
@@ -21,24 +21,28 @@
 const ADDRESS_TTL: Duration = Duration::from_secs(2);
 
 const NODE: &[Key] = &[
-    required("id", Shape::Name, "The node's name, unique over all nodes."),
-    required("region", Shape::Name, "Its region."),
-    required("failure_domain", Shape::Name, "Its failure domain."),
+    required(
+        "id",
+        ValueType::Name,
+        "The node's name, unique over all nodes.",
+    ),
+    required("region", ValueType::Name, "Its region."),
+    required("failure_domain", ValueType::Name, "Its failure domain."),
     defaulted(
         "first_start",
-        Shape::Choice(&["no", "yes"]),
+        ValueType::Choice(&["no", "yes"]),
         "no",
         "Whether the whole system starts for the first time, so that loads are quick.",
     ),
     defaulted(
         "processor_share",
-        Shape::Decimal { max: 1 },
+        ValueType::Decimal { max: 1 },
         "1",
         "The part of its processor that the node may use. Nodes with more take on roles for others.",
     ),
     defaulted(
         "processor_cores",
-        Shape::Decimal { max: MAX_CORES },
+        ValueType::Decimal { max: MAX_CORES },
         "1",
         "How fast that processor is, in cores.",
     ),
@@ -47,34 +51,38 @@
 const LISTEN: &[Key] = &[
     required(
         "callers",
-        Shape::Address,
+        ValueType::Address,
         "For callers' requests; told to them as it stands.",
     ),
     required(
         "ready",
-        Shape::Address,
+        ValueType::Address,
         "For questions whether the node is ready, and for metrics.",
     ),
     required(
         "directory",
-        Shape::Address,
+        ValueType::Address,
         "For callers that ask which addresses to use.",
     ),
     required(
         "peers",
-        Shape::Address,
+        ValueType::Address,
         "For other nodes; told to them as it stands.",
     ),
 ];
 
 const PEERS: &[Key] = &[defaulted(
     "seeds",
-    Shape::Addresses { max: MAX_SEEDS },
+    ValueType::Addresses { max: MAX_SEEDS },
     "",
     "Nodes to greet first.",
 )];
 
-const PLATFORM: &[Key] = &[required("store", Shape::Address, "The platform's store.")];
+const PLATFORM: &[Key] = &[required(
+    "store",
+    ValueType::Address,
+    "The platform's store.",
+)];
 
 const RETRIES: &[Key] = &[
     required(
@@ -84,12 +92,12 @@
     ),
     required(
         "ratio",
-        Shape::Decimal { max: 10 },
+        ValueType::Decimal { max: 10 },
         "Repeats for each request of a caller.",
     ),
     required(
         "slack",
-        Shape::Decimal { max: 1_000_000 },
+        ValueType::Decimal { max: 1_000_000 },
         "Repeats beside that, of all nodes together.",
     ),
 ];
@@ -109,7 +117,7 @@
 
 const LOG: &[Key] = &[defaulted(
     "level",
-    Shape::Choice(&["info", "warn", "error", "debug"]),
+    ValueType::Choice(&["info", "warn", "error", "debug"]),
     "info",
     "The least severe lines that are written.",
 )];
--- a/crates/node/src/settings_keys.rs
+++ b/crates/node/src/settings_keys.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use eelgrassmill_config::{Key, SectionKeys, Shape, defaulted, optional, required};
+use eelgrassmill_config::{Key, SectionKeys, ValueType, defaulted, optional, required};
 
 const MAX_ADDRESSES: usize = 64;
 const MILLIS_50: Duration = Duration::from_millis(50);
@@ -16,62 +16,71 @@
 const MAX_PROBE_INTERVAL: Duration = Duration::from_millis(750);
 
 pub(crate) const NODE: &[Key] = &[
-    required("id", Shape::Name, "The node's name, unique over all nodes."),
-    required("region", Shape::Name, "Its region."),
-    required("failure_domain", Shape::Name, "Its failure domain."),
+    required(
+        "id",
+        ValueType::Name,
+        "The node's name, unique over all nodes.",
+    ),
+    required("region", ValueType::Name, "Its region."),
+    required("failure_domain", ValueType::Name, "Its failure domain."),
 ];
 
 pub(crate) const LISTEN: &[Key] = &[
     required(
         "callers",
-        Shape::Address,
+        ValueType::Address,
         "Where callers reach it; told to them as it stands.",
     ),
     required(
         "admin",
-        Shape::Address,
+        ValueType::Address,
         "Where operators and the metrics collector reach it.",
     ),
     required(
         "peers",
-        Shape::Address,
+        ValueType::Address,
         "Where other nodes reach it; told to them as it stands.",
     ),
 ];
 
 pub(crate) const PLATFORM: &[Key] = &[
-    required("table", Shape::Address, "The table service."),
+    required("table", ValueType::Address, "The table service."),
     optional(
         "objects",
-        Shape::Address,
+        ValueType::Address,
         "same as table",
         "The object store.",
     ),
     optional(
         "weights",
-        Shape::Address,
+        ValueType::Address,
         "same as table",
         "The weight store.",
     ),
-    optional("hosts", Shape::Address, "same as table", "The host list."),
+    optional(
+        "hosts",
+        ValueType::Address,
+        "same as table",
+        "The host list.",
+    ),
 ];
 
 pub(crate) const ADMIN: &[Key] = &[
     optional(
         "token_sha256",
-        Shape::Sha256,
+        ValueType::Sha256,
         "token_file counts",
         "SHA-256 of the operators' bearer token.",
     ),
     optional(
         "token_file",
-        Shape::Path,
+        ValueType::Path,
         "token_sha256 counts",
         "File that holds the operators' bearer token alone; read at the start.",
     ),
     defaulted(
         "connections",
-        Shape::number(1, 1_000),
+        ValueType::number(1, 1_000),
         "32",
         "Connections at a time; more are closed at once.",
     ),
@@ -79,7 +88,7 @@
 
 pub(crate) const PEERS: &[Key] = &[defaulted(
     "seeds",
-    Shape::Addresses { max: MAX_ADDRESSES },
+    ValueType::Addresses { max: MAX_ADDRESSES },
     "",
     "Peer addresses of some other nodes, to learn of the rest when the table is down.",
 )];
@@ -87,37 +96,37 @@
 pub(crate) const TIMING: &[Key] = &[
     defaulted(
         "lease_term",
-        Shape::duration(SECOND, MINUTE),
+        ValueType::duration(SECOND, MINUTE),
         "10s",
         "How long the node's lease counts from before the renewal that succeeded.",
     ),
     defaulted(
         "clock_margin",
-        Shape::duration(MILLIS_100, MINUTE),
+        ValueType::duration(MILLIS_100, MINUTE),
         "1s",
         "Added to another node's term before its lease counts as lapsed.",
     ),
     defaulted(
         "order_time",
-        Shape::duration(MILLIS_100, MINUTE),
+        ValueType::duration(MILLIS_100, MINUTE),
         "5s",
         "Longest time that an order can be under way to a host.",
     ),
     defaulted(
         "probe_interval",
-        Shape::duration(MILLIS_50, MAX_PROBE_INTERVAL),
+        ValueType::duration(MILLIS_50, MAX_PROBE_INTERVAL),
         "500ms",
         "Time between two probes of a host by one watcher.",
     ),
     defaulted(
         "address_keep",
-        Shape::duration(MILLIS_100, HOUR),
+        ValueType::duration(MILLIS_100, HOUR),
         "5s",
         "How long callers may keep the answer to which address to use.",
     ),
     defaulted(
         "stop_time",
-        Shape::duration(SECOND, HOUR),
+        ValueType::duration(SECOND, HOUR),
         "60s",
         "Longest time that a stopping node waits for requests in progress. Where a service's timeout is longer, a stop refuses calls.",
     ),
@@ -125,7 +134,7 @@
 
 pub(crate) const LIMITS: &[Key] = &[defaulted(
     "connections",
-    Shape::number(1, 100_000),
+    ValueType::number(1, 100_000),
     "4096",
     "Connections of callers at a time.",
 )];
@@ -133,13 +142,13 @@
 pub(crate) const LOG: &[Key] = &[
     defaulted(
         "format",
-        Shape::Choice(&["text", "json"]),
+        ValueType::Choice(&["text", "json"]),
         "text",
         "Form of the lines.",
     ),
     defaulted(
         "level",
-        Shape::Choice(&["error", "warn", "info", "debug"]),
+        ValueType::Choice(&["error", "warn", "info", "debug"]),
         "info",
         "The least important lines to write.",
     ),
