--- a/crates/config/src/accept.rs
+++ b/crates/config/src/accept.rs
@@ -12,8 +12,8 @@
 use smol_str::SmolStr;
 
 use crate::canonical::{Change, checksum, diff};
+use crate::diagnostics::ConfigErrors;
 use crate::model::Config;
-use crate::problem::ConfigErrors;
 
 /// Key of the row that holds the accepted text.
 pub const CURRENT_KEY: &str = "config/current";
--- a/crates/config/src/applied.rs
+++ b/crates/config/src/applied.rs
@@ -7,8 +7,8 @@
 
 use crate::accept::CurrentRow;
 use crate::canonical::checksum;
+use crate::diagnostics::ConfigErrors;
 use crate::model::Config;
-use crate::problem::ConfigErrors;
 
 /// What a node has in force.
 ///
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/diagnostics.rs
@@ -6,14 +6,14 @@
 
 /// One mistake in a text, shown as `file:line: what is wrong, what to write`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{file}:{line}: {what}")]
+#[error("{file}:{line}: {message}")]
 pub struct ConfigError {
     /// The file, or whatever the text came from.
     pub file: SmolStr,
     /// The line, counted from 1.
     pub line: usize,
     /// What is wrong and what to write.
-    pub what: String,
+    pub message: String,
 }
 
 /// All mistakes of a text in the order of its lines, one a line when shown.
@@ -24,7 +24,7 @@
 
 impl ConfigErrors {
     /// Mistakes that are kept; a text that is no INI at all can have one in each of its lines.
-    pub const MOST: usize = 100;
+    pub const MAX_ERRORS: usize = 100;
 
     /// The mistakes.
     pub fn as_slice(&self) -> &[ConfigError] {
@@ -62,26 +62,26 @@
 
 /// Gathers mistakes while a text is read.
 #[derive(Debug)]
-pub struct Problems {
+pub struct Diagnostics {
     file: SmolStr,
-    found: Vec<ConfigError>,
+    errors: Vec<ConfigError>,
 }
 
-impl Problems {
+impl Diagnostics {
     /// None yet, in `file`.
-    pub fn new(file: &str) -> Problems {
-        Problems {
+    pub fn new(file: &str) -> Diagnostics {
+        Diagnostics {
             file: file.into(),
-            found: Vec::new(),
+            errors: Vec::new(),
         }
     }
 
     /// Adds one.
-    pub fn add(&mut self, line: usize, what: impl Into<String>) {
-        self.found.push(ConfigError {
+    pub fn add(&mut self, line: usize, message: impl Into<String>) {
+        self.errors.push(ConfigError {
             file: self.file.clone(),
             line,
-            what: what.into(),
+            message: message.into(),
         });
     }
 
@@ -90,12 +90,12 @@
     /// # Errors
     /// All that was found.
     pub fn finish<T>(mut self, value: T) -> Result<T, ConfigErrors> {
-        if self.found.is_empty() {
+        if self.errors.is_empty() {
             return Ok(value);
         }
-        self.found.sort_by_key(|e| e.line);
-        self.found.dedup();
-        self.found.truncate(ConfigErrors::MOST);
-        Err(ConfigErrors(self.found))
+        self.errors.sort_by_key(|e| e.line);
+        self.errors.dedup();
+        self.errors.truncate(ConfigErrors::MAX_ERRORS);
+        Err(ConfigErrors(self.errors))
     }
 }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -3,7 +3,7 @@
 use ini::{Ini, ParseOption};
 use smol_str::SmolStr;
 
-use crate::problem::Problems;
+use crate::diagnostics::Diagnostics;
 
 /// Longest text that is read, in bytes; a table row holds it whole.
 pub const MAX_TEXT: usize = 256 * 1024;
@@ -46,9 +46,9 @@
 /// The INI library joins a line without `=` with the next one and takes an
 /// indented comment for a key, and it tells no lines. So the lines are checked
 /// one by one first, and only what both agree on is taken.
-pub fn read_sections(text: &str, problems: &mut Problems) -> Vec<Section> {
+pub fn read_sections(text: &str, diagnostics: &mut Diagnostics) -> Vec<Section> {
     if text.len() > MAX_TEXT {
-        problems.add(
+        diagnostics.add(
             1,
             format!(
                 "the text has {} bytes, write at most {MAX_TEXT}",
@@ -57,7 +57,7 @@
         );
         return Vec::new();
     }
-    let lines = scan(text, problems);
+    let lines = scan(text, diagnostics);
     let clean: Vec<&str> = lines.iter().map(Line::text).collect();
     let option = ParseOption {
         enabled_quote: false,
@@ -65,9 +65,9 @@
         ..ParseOption::default()
     };
     match Ini::load_from_str_opt(&clean.join("\n"), option) {
-        Ok(ini) => attach_lines(&ini, &lines, problems),
+        Ok(ini) => attach_lines(&ini, &lines, diagnostics),
         Err(e) => {
-            problems.add(
+            diagnostics.add(
                 e.line,
                 format!("not INI ({}), write `key = value` lines", e.msg),
             );
@@ -93,20 +93,20 @@
     }
 }
 
-fn scan<'a>(text: &'a str, problems: &mut Problems) -> Vec<Line<'a>> {
+fn scan<'a>(text: &'a str, diagnostics: &mut Diagnostics) -> Vec<Line<'a>> {
     let text = text.strip_prefix('\u{feff}').unwrap_or(text);
     let mut in_section = false;
     let mut lines = Vec::new();
     for (i, line) in text.split('\n').enumerate() {
         let read = scan_line(line.trim()).unwrap_or_else(|what| {
-            problems.add(i + 1, what);
+            diagnostics.add(i + 1, what);
             Line::Nothing
         });
         if matches!(read, Line::Header(_)) {
             in_section = true;
         }
         if matches!(read, Line::Entry(_)) && !in_section {
-            problems.add(
+            diagnostics.add(
                 i + 1,
                 "a key before any section, write a section line like `[fleet]` first",
             );
@@ -138,7 +138,7 @@
     }
 }
 
-fn attach_lines(ini: &Ini, lines: &[Line<'_>], problems: &mut Problems) -> Vec<Section> {
+fn attach_lines(ini: &Ini, lines: &[Line<'_>], diagnostics: &mut Diagnostics) -> Vec<Section> {
     let mut headers = numbered(lines, |l| matches!(l, Line::Header(_)));
     let mut entries = numbered(lines, |l| matches!(l, Line::Entry(_)));
     let mut sections = Vec::new();
@@ -163,7 +163,7 @@
         }
     }
     if headers.next().is_some() || entries.next().is_some() {
-        problems.add(
+        diagnostics.add(
             1,
             "sections can't be told apart, write each `[section]` on its own line",
         );
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -6,11 +6,11 @@
 mod accept;
 mod applied;
 mod canonical;
+mod diagnostics;
 mod document;
 mod keys;
 mod model;
 mod parse;
-mod problem;
 mod reader;
 mod references;
 mod sections;
@@ -23,12 +23,12 @@
 };
 pub use crate::applied::{Applied, OfferError, Offered};
 pub use crate::canonical::{Change, SectionName, canonical, checksum, diff};
+pub use crate::diagnostics::{ConfigError, ConfigErrors, Diagnostics};
 pub use crate::document::{Entry, MAX_TEXT, Section, read_sections};
 pub use crate::keys::{Key, Presence, SectionKeys, ValueType, defaulted, optional, required};
 pub use crate::model::{
     Config, ModelService, NodeRule, RepairWeight, Service, ServiceKind, TargetRule, Tenant,
 };
-pub use crate::problem::{ConfigError, ConfigErrors, Problems};
 pub use crate::reader::Reader;
 pub use crate::sections::Sections;
 pub use crate::text_keys::TEXT_SECTIONS;
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -4,10 +4,10 @@
 
 use smol_str::SmolStr;
 
+use crate::diagnostics::{ConfigErrors, Diagnostics};
 use crate::document::{Section, read_sections};
 use crate::model::ModelService;
 use crate::model::{Config, NodeRule, RepairWeight, Service, ServiceKind, TargetRule, Tenant};
-use crate::problem::{ConfigErrors, Problems};
 use crate::reader::Reader;
 use crate::units::is_name;
 use crate::{references, text_keys};
@@ -23,20 +23,20 @@
     /// # Errors
     /// All mistakes, each with its line and what to write.
     pub fn parse(text: &str, file: &str) -> Result<Config, ConfigErrors> {
-        let mut problems = Problems::new(file);
-        let sections = read_sections(text, &mut problems);
+        let mut diagnostics = Diagnostics::new(file);
+        let sections = read_sections(text, &mut diagnostics);
         let mut draft = Draft::default();
         for section in sections.iter().take(MAX_SECTIONS) {
-            draft.take_section(section, &mut problems);
+            draft.take_section(section, &mut diagnostics);
         }
         if let Some(section) = sections.get(MAX_SECTIONS) {
-            problems.add(
+            diagnostics.add(
                 section.line,
                 format!("too many sections, write at most {MAX_SECTIONS}"),
             );
         }
-        references::check(&draft, &mut problems);
-        problems.finish(draft.config)
+        references::check(&draft, &mut diagnostics);
+        diagnostics.finish(draft.config)
     }
 }
 
@@ -64,79 +64,81 @@
         self.sections.contains_key(&format!("service {name}"))
     }
 
-    fn take_section(&mut self, section: &Section, problems: &mut Problems) {
+    fn take_section(&mut self, section: &Section, diagnostics: &mut Diagnostics) {
         if let Some(first) = self.sections.get(&section.name) {
             let what = format!("[{}] again after line {first}, write it once", section.name);
-            problems.add(section.line, what);
+            diagnostics.add(section.line, what);
             return;
         }
         self.sections.insert(section.name.clone(), section.line);
         let (kind, name) = section.name.split_once(' ').unwrap_or((&section.name, ""));
         match (kind, name) {
-            ("fleet", "") => self.take_fleet(section, problems),
+            ("fleet", "") => self.take_fleet(section, diagnostics),
             ("tenant" | "service" | "target" | "node", name) if !is_name(name) => {
                 let what = format!(
                     "[{}] has no usable name, write [{kind} NAME] with letters, digits, `.`, `_` and `-`",
                     section.name
                 );
-                problems.add(section.line, what);
+                diagnostics.add(section.line, what);
             }
-            ("tenant", name) => self.take_tenant(name.into(), section, problems),
-            ("service", name) => self.take_service(name.into(), section, problems),
-            ("target", name) => self.take_target(name.into(), section, problems),
-            ("node", name) => self.take_node(name.into(), section, problems),
-            _ => problems.add(
+            ("tenant", name) => self.take_tenant(name.into(), section, diagnostics),
+            ("service", name) => self.take_service(name.into(), section, diagnostics),
+            ("target", name) => self.take_target(name.into(), section, diagnostics),
+            ("node", name) => self.take_node(name.into(), section, diagnostics),
+            _ => diagnostics.add(
                 section.line,
                 format!("[{}] is unknown, {NO_KIND}", section.name),
             ),
         }
     }
 
-    fn take_fleet(&mut self, section: &Section, problems: &mut Problems) {
-        let reader = Reader::new(section, &[text_keys::FLEET], problems);
-        self.config.repair = match reader.choice("repair", problems) {
+    fn take_fleet(&mut self, section: &Section, diagnostics: &mut Diagnostics) {
+        let reader = Reader::new(section, &[text_keys::FLEET], diagnostics);
+        self.config.repair = match reader.choice("repair", diagnostics) {
             "stranded" => RepairWeight::Stranded,
             _ => RepairWeight::Downtime,
         };
     }
 
-    fn take_tenant(&mut self, name: SmolStr, section: &Section, problems: &mut Problems) {
-        let reader = Reader::new(section, &[text_keys::TENANT], problems);
+    fn take_tenant(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
+        let reader = Reader::new(section, &[text_keys::TENANT], diagnostics);
         let tenant = Tenant {
             name: name.clone(),
-            token_sha256: reader.sha256("token_sha256", problems).unwrap_or_default(),
-            weight: reader.number("weight", problems),
-            max_queue: reader.number("max_queue", problems),
+            token_sha256: reader
+                .sha256("token_sha256", diagnostics)
+                .unwrap_or_default(),
+            weight: reader.number("weight", diagnostics),
+            max_queue: reader.number("max_queue", diagnostics),
         };
         self.token_lines
             .insert(name.clone(), reader.line("token_sha256"));
         self.config.tenants.insert(name, tenant);
     }
 
-    fn take_target(&mut self, name: SmolStr, section: &Section, problems: &mut Problems) {
-        let reader = Reader::new(section, &[text_keys::TARGET], problems);
+    fn take_target(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
+        let reader = Reader::new(section, &[text_keys::TARGET], diagnostics);
         let rule = TargetRule {
-            checks_orders: reader.yes("checks_orders", problems),
-            drain: reader.yes("drain", problems),
+            checks_orders: reader.yes("checks_orders", diagnostics),
+            drain: reader.yes("drain", diagnostics),
         };
         self.config.targets.insert(name, rule);
     }
 
-    fn take_node(&mut self, name: SmolStr, section: &Section, problems: &mut Problems) {
-        let reader = Reader::new(section, &[text_keys::NODE], problems);
+    fn take_node(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
+        let reader = Reader::new(section, &[text_keys::NODE], diagnostics);
         let rule = NodeRule {
-            drain: reader.yes("drain", problems),
+            drain: reader.yes("drain", diagnostics),
         };
         self.config.nodes.insert(name, rule);
     }
 
-    fn take_service(&mut self, name: SmolStr, section: &Section, problems: &mut Problems) {
+    fn take_service(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
         let Some(kind_entry) = section.entries.iter().find(|e| e.key == text_keys::KIND) else {
             let what = format!(
                 "[{}] has no `kind`, write model, plain or adapter",
                 section.name
             );
-            problems.add(section.line, what);
+            diagnostics.add(section.line, what);
             return;
         };
         let kind_keys = match kind_entry.value.as_str() {
@@ -146,17 +148,17 @@
             other => {
                 let shown: String = other.chars().take(80).collect();
                 let what = format!("`kind = {shown}` can't be, write model, plain or adapter");
-                problems.add(kind_entry.line, what);
+                diagnostics.add(kind_entry.line, what);
                 return;
             }
         };
-        let reader = Reader::new(section, &[text_keys::SERVICE, kind_keys], problems);
+        let reader = Reader::new(section, &[text_keys::SERVICE, kind_keys], diagnostics);
         let kind = match kind_entry.value.as_str() {
-            "model" => ServiceKind::Model(read_model(&reader, problems)),
-            "plain" => read_plain(&reader, problems),
-            _ => read_adapter(&reader, problems),
+            "model" => ServiceKind::Model(read_model(&reader, diagnostics)),
+            "plain" => read_plain(&reader, diagnostics),
+            _ => read_adapter(&reader, diagnostics),
         };
-        let service = read_common(name.clone(), kind, &reader, problems);
+        let service = read_common(name.clone(), kind, &reader, diagnostics);
         let lines = ServiceLines {
             depends_on: reader.line("depends_on"),
             base: if kind_entry.value == "adapter" {
@@ -174,7 +176,7 @@
     name: SmolStr,
     kind: ServiceKind,
     reader: &Reader<'_>,
-    problems: &mut Problems,
+    diagnostics: &mut Diagnostics,
 ) -> Service {
     // A plain service's calls may have effects outside of the system, so
     // running one twice must be asked for.
@@ -182,56 +184,56 @@
     Service {
         name,
         kind,
-        depends_on: reader.names("depends_on", problems),
+        depends_on: reader.names("depends_on", diagnostics),
         repeatable: reader
-            .yes_or_absent("repeatable", problems)
+            .yes_or_absent("repeatable", diagnostics)
             .unwrap_or(repeatable_default),
-        keep_answers: reader.duration("keep_answers", problems),
-        timeout: reader.duration("timeout", problems),
-        max_queue: reader.number("max_queue", problems),
+        keep_answers: reader.duration("keep_answers", diagnostics),
+        timeout: reader.duration("timeout", diagnostics),
+        max_queue: reader.number("max_queue", diagnostics),
     }
 }
 
-fn read_model(reader: &Reader<'_>, problems: &mut Problems) -> ModelService {
-    let groups = reader.number("groups", problems);
-    let slots = reader.number("slots", problems);
+fn read_model(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> ModelService {
+    let groups = reader.number("groups", diagnostics);
+    let slots = reader.number("slots", diagnostics);
     let floor = reader
-        .number_or_absent("floor", problems)
+        .number_or_absent("floor", diagnostics)
         .unwrap_or(groups.saturating_sub(1));
     let urgent_slots = reader
-        .number_or_absent("urgent_slots", problems)
+        .number_or_absent("urgent_slots", diagnostics)
         .unwrap_or(slots / 8);
     if floor > groups {
         let what = format!("`floor` is above `groups`, write at most {groups}");
-        problems.add(reader.line("floor"), what);
+        diagnostics.add(reader.line("floor"), what);
     }
     if urgent_slots >= slots {
         let what = format!("`urgent_slots` leaves no slot for the rest, write less than {slots}");
-        problems.add(reader.line("urgent_slots"), what);
+        diagnostics.add(reader.line("urgent_slots"), what);
     }
     ModelService {
-        model: reader.name("model", problems),
-        version: reader.name("version", problems),
+        model: reader.name("model", diagnostics),
+        version: reader.name("version", diagnostics),
         groups,
-        hosts_per_group: reader.number("hosts_per_group", problems),
+        hosts_per_group: reader.number("hosts_per_group", diagnostics),
         floor,
         slots,
         urgent_slots,
     }
 }
 
-fn read_plain(reader: &Reader<'_>, problems: &mut Problems) -> ServiceKind {
-    let targets = reader.names("targets", problems);
+fn read_plain(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> ServiceKind {
+    let targets = reader.names("targets", diagnostics);
     ServiceKind::Plain {
         targets,
-        slots: reader.number("slots", problems),
+        slots: reader.number("slots", diagnostics),
     }
 }
 
-fn read_adapter(reader: &Reader<'_>, problems: &mut Problems) -> ServiceKind {
-    let base = reader.name("base", problems);
+fn read_adapter(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> ServiceKind {
+    let base = reader.name("base", diagnostics);
     ServiceKind::Adapter {
         base,
-        adapter: reader.name("adapter", problems),
+        adapter: reader.name("adapter", diagnostics),
     }
 }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -5,9 +5,9 @@
 
 use smol_str::SmolStr;
 
+use crate::diagnostics::Diagnostics;
 use crate::document::{Entry, Section};
 use crate::keys::{Key, Presence, ValueType};
-use crate::problem::Problems;
 use crate::units::{is_name, parse_duration};
 
 /// One section under its keys.
@@ -26,16 +26,16 @@
     pub fn new(
         section: &'a Section,
         tables: &[&'static [Key]],
-        problems: &mut Problems,
+        diagnostics: &mut Diagnostics,
     ) -> Reader<'a> {
         let keys: Vec<&'static Key> = tables.iter().flat_map(|t| t.iter()).collect();
         let reader = Reader { section, keys };
-        reader.check_names(problems);
-        reader.check_required(problems);
+        reader.check_names(diagnostics);
+        reader.check_required(diagnostics);
         reader
     }
 
-    fn check_names(&self, problems: &mut Problems) {
+    fn check_names(&self, diagnostics: &mut Diagnostics) {
         for (i, entry) in self.section.entries.iter().enumerate() {
             let name = &entry.key;
             if !self.keys.iter().any(|k| k.name == *name) {
@@ -45,11 +45,11 @@
                     self.section.name,
                     known.join(", ")
                 );
-                problems.add(entry.line, what);
+                diagnostics.add(entry.line, what);
             }
             if let Some(first) = self.section.entries[..i].iter().find(|e| e.key == *name) {
                 let line = first.line;
-                problems.add(
+                diagnostics.add(
                     entry.line,
                     format!("`{name}` again after line {line}, write it once"),
                 );
@@ -57,7 +57,7 @@
         }
     }
 
-    fn check_required(&self, problems: &mut Problems) {
+    fn check_required(&self, diagnostics: &mut Diagnostics) {
         for key in &self.keys {
             if key.presence == Presence::Required && self.entry(key.name).is_none() {
                 let what = format!(
@@ -67,7 +67,7 @@
                     key.name,
                     key.value_type.describe()
                 );
-                problems.add(self.section.line, what);
+                diagnostics.add(self.section.line, what);
             }
         }
     }
@@ -101,7 +101,7 @@
     fn value<T>(
         &self,
         name: &str,
-        problems: &mut Problems,
+        diagnostics: &mut Diagnostics,
         parse: impl Fn(&str, &ValueType) -> Option<T>,
     ) -> Option<T> {
         let text = self.text(name)?;
@@ -113,14 +113,14 @@
                 "`{name} = {shown}` can't be, write {}",
                 value_type.describe()
             );
-            problems.add(self.line(name), what);
+            diagnostics.add(self.line(name), what);
         }
         value
     }
 
     /// A whole number; `None` when it is left out or wrong.
-    pub fn number_or_absent(&self, name: &str, problems: &mut Problems) -> Option<u32> {
-        self.value(name, problems, |text, value_type| {
+    pub fn number_or_absent(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<u32> {
+        self.value(name, diagnostics, |text, value_type| {
             let ValueType::Number { min, max } = value_type else {
                 return None;
             };
@@ -131,17 +131,17 @@
     }
 
     /// A whole number; the lowest allowed when wrong.
-    pub fn number(&self, name: &str, problems: &mut Problems) -> u32 {
+    pub fn number(&self, name: &str, diagnostics: &mut Diagnostics) -> u32 {
         let ValueType::Number { min, .. } = self.key(name).value_type else {
             return 0;
         };
         let lowest = u32::try_from(min).unwrap_or(u32::MAX);
-        self.number_or_absent(name, problems).unwrap_or(lowest)
+        self.number_or_absent(name, diagnostics).unwrap_or(lowest)
     }
 
     /// A number with decimals; zero when wrong.
-    pub fn decimal(&self, name: &str, problems: &mut Problems) -> f64 {
-        let found = self.value(name, problems, |text, value_type| {
+    pub fn decimal(&self, name: &str, diagnostics: &mut Diagnostics) -> f64 {
+        let found = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Decimal { max } = value_type else {
                 return None;
             };
@@ -152,8 +152,8 @@
     }
 
     /// A duration.
-    pub fn duration(&self, name: &str, problems: &mut Problems) -> Duration {
-        let found = self.value(name, problems, |text, value_type| {
+    pub fn duration(&self, name: &str, diagnostics: &mut Diagnostics) -> Duration {
+        let found = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Duration { min, max } = value_type else {
                 return None;
             };
@@ -163,17 +163,19 @@
     }
 
     /// The chosen word, always one of the key's; the first one when wrong.
-    pub fn choice(&self, name: &str, problems: &mut Problems) -> &'static str {
+    pub fn choice(&self, name: &str, diagnostics: &mut Diagnostics) -> &'static str {
         let ValueType::Choice(words) = self.key(name).value_type else {
             return "";
         };
-        let found = self.value(name, problems, |text, _| words.iter().find(|w| **w == text));
+        let found = self.value(name, diagnostics, |text, _| {
+            words.iter().find(|w| **w == text)
+        });
         found.unwrap_or(&words[0])
     }
 
     /// A `yes` or `no`; `None` when it is left out or wrong.
-    pub fn yes_or_absent(&self, name: &str, problems: &mut Problems) -> Option<bool> {
-        self.value(name, problems, |text, _| match text {
+    pub fn yes_or_absent(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<bool> {
+        self.value(name, diagnostics, |text, _| match text {
             "yes" => Some(true),
             "no" => Some(false),
             _ => None,
@@ -181,19 +183,21 @@
     }
 
     /// A `yes` or `no`.
-    pub fn yes(&self, name: &str, problems: &mut Problems) -> bool {
-        self.choice(name, problems) == "yes"
+    pub fn yes(&self, name: &str, diagnostics: &mut Diagnostics) -> bool {
+        self.choice(name, diagnostics) == "yes"
     }
 
     /// A name; empty when wrong.
-    pub fn name(&self, name: &str, problems: &mut Problems) -> SmolStr {
-        let found = self.value(name, problems, |text, _| is_name(text).then(|| text.into()));
+    pub fn name(&self, name: &str, diagnostics: &mut Diagnostics) -> SmolStr {
+        let found = self.value(name, diagnostics, |text, _| {
+            is_name(text).then(|| text.into())
+        });
         found.unwrap_or_default()
     }
 
     /// A list of names, each once.
-    pub fn names(&self, name: &str, problems: &mut Problems) -> Vec<SmolStr> {
-        let found = self.value(name, problems, |text, value_type| {
+    pub fn names(&self, name: &str, diagnostics: &mut Diagnostics) -> Vec<SmolStr> {
+        let found = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Names { max } = value_type else {
                 return None;
             };
@@ -203,7 +207,7 @@
         });
         let names = found.unwrap_or_default();
         if let Some(twice) = first_repeated(&names) {
-            problems.add(
+            diagnostics.add(
                 self.line(name),
                 format!("`{name}` has {twice} twice, write it once"),
             );
@@ -212,21 +216,21 @@
     }
 
     /// A SHA-256 in lower-case digits.
-    pub fn sha256(&self, name: &str, problems: &mut Problems) -> Option<SmolStr> {
-        self.value(name, problems, |text, _| {
+    pub fn sha256(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<SmolStr> {
+        self.value(name, diagnostics, |text, _| {
             let digits = text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
             digits.then(|| text.to_ascii_lowercase().into())
         })
     }
 
     /// A numeric `IP:PORT`.
-    pub fn address(&self, name: &str, problems: &mut Problems) -> Option<SocketAddr> {
-        self.value(name, problems, |text, _| text.parse().ok())
+    pub fn address(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<SocketAddr> {
+        self.value(name, diagnostics, |text, _| text.parse().ok())
     }
 
     /// A list of numeric `IP:PORT`s.
-    pub fn addresses(&self, name: &str, problems: &mut Problems) -> Vec<SocketAddr> {
-        let found = self.value(name, problems, |text, value_type| {
+    pub fn addresses(&self, name: &str, diagnostics: &mut Diagnostics) -> Vec<SocketAddr> {
+        let found = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Addresses { max } = value_type else {
                 return None;
             };
@@ -239,8 +243,8 @@
     }
 
     /// The path of a file.
-    pub fn path(&self, name: &str, problems: &mut Problems) -> Option<String> {
-        self.value(name, problems, |text, _| {
+    pub fn path(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<String> {
+        self.value(name, diagnostics, |text, _| {
             (!text.is_empty()).then(|| text.to_owned())
         })
     }
--- a/crates/config/src/references.rs
+++ b/crates/config/src/references.rs
@@ -4,20 +4,20 @@
 
 use smol_str::SmolStr;
 
+use crate::diagnostics::Diagnostics;
 use crate::model::{Service, ServiceKind};
 use crate::parse::Draft;
-use crate::problem::Problems;
 
-pub(crate) fn check(draft: &Draft, problems: &mut Problems) {
-    check_tokens(draft, problems);
+pub(crate) fn check(draft: &Draft, diagnostics: &mut Diagnostics) {
+    check_tokens(draft, diagnostics);
     for service in draft.config.services.values() {
-        check_names(draft, service, problems);
+        check_names(draft, service, diagnostics);
     }
-    check_cycles(draft, problems);
+    check_cycles(draft, diagnostics);
 }
 
 /// Two tenants with one token couldn't be told apart by their requests.
-fn check_tokens(draft: &Draft, problems: &mut Problems) {
+fn check_tokens(draft: &Draft, diagnostics: &mut Diagnostics) {
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
     for tenant in draft
         .config
@@ -28,12 +28,12 @@
         if let Some(other) = owners.insert(&tenant.token_sha256, &tenant.name) {
             let line = draft.token_lines[&tenant.name];
             let what = format!("tenant {other} has the same token, write each tenant's own");
-            problems.add(line, what);
+            diagnostics.add(line, what);
         }
     }
 }
 
-fn check_names(draft: &Draft, service: &Service, problems: &mut Problems) {
+fn check_names(draft: &Draft, service: &Service, diagnostics: &mut Diagnostics) {
     let services = &draft.config.services;
     let lines = &draft.lines[&service.name];
     for name in service
@@ -43,7 +43,7 @@
     {
         let what =
             format!("no service {name} in this text, write one that is or add [service {name}]");
-        problems.add(lines.depends_on, what);
+        diagnostics.add(lines.depends_on, what);
     }
     let ServiceKind::Adapter { base, .. } = &service.kind else {
         return;
@@ -53,7 +53,7 @@
     }
     match services.get(base).map(|s| &s.kind) {
         Some(ServiceKind::Model(_)) => {}
-        Some(_) => problems.add(
+        Some(_) => diagnostics.add(
             lines.base,
             format!("{base} is no model service, write one that is"),
         ),
@@ -61,13 +61,13 @@
         None if draft.has_service_section(base) => {}
         None => {
             let what = format!("no service {base} in this text, write a model service of it");
-            problems.add(lines.base, what);
+            diagnostics.add(lines.base, what);
         }
     }
 }
 
 /// Services in a cycle wait for each other and none of them would ever serve.
-fn check_cycles(draft: &Draft, problems: &mut Problems) {
+fn check_cycles(draft: &Draft, diagnostics: &mut Diagnostics) {
     let services = &draft.config.services;
     let mut done: BTreeSet<&SmolStr> = BTreeSet::new();
     for start in services.keys() {
@@ -87,7 +87,7 @@
                 report_cycle(
                     draft,
                     path[at..].iter().map(|(n, _)| *n).collect(),
-                    problems,
+                    diagnostics,
                 );
             } else if !done.contains(next) && services.contains_key(next) {
                 path.push((next, needs(&services[next])));
@@ -104,7 +104,7 @@
     service.depends_on.iter().chain(base).collect()
 }
 
-fn report_cycle(draft: &Draft, cycle: Vec<&SmolStr>, problems: &mut Problems) {
+fn report_cycle(draft: &Draft, cycle: Vec<&SmolStr>, diagnostics: &mut Diagnostics) {
     let (first, last) = (cycle[0], cycle[cycle.len() - 1]);
     let mut shown: Vec<&str> = cycle.iter().map(|n| n.as_str()).collect();
     shown.push(first);
@@ -119,5 +119,5 @@
         "{} need each other in a cycle, break it here",
         shown.join(" -> ")
     );
-    problems.add(line, what);
+    diagnostics.add(line, what);
 }
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -1,8 +1,8 @@
 //! The sections of a settings text.
 
+use crate::diagnostics::Diagnostics;
 use crate::document::{Section, read_sections};
 use crate::keys::SectionKeys;
-use crate::problem::Problems;
 
 /// The sections of a settings text, each once; one that is left out is empty.
 #[derive(Debug)]
@@ -12,13 +12,13 @@
 
 impl Sections {
     /// Splits `text` into the sections of `known`; unknown and repeated ones are reported.
-    pub fn read(text: &str, known: &[SectionKeys], problems: &mut Problems) -> Sections {
+    pub fn read(text: &str, known: &[SectionKeys], diagnostics: &mut Diagnostics) -> Sections {
         let mut found: Vec<Section> = Vec::new();
-        for section in read_sections(text, problems) {
+        for section in read_sections(text, diagnostics) {
             if let Some(first) = found.iter().find(|s| s.name == section.name) {
                 let (name, line) = (&section.name, first.line);
                 let what = format!("[{name}] again after line {line}, write it once");
-                problems.add(section.line, what);
+                diagnostics.add(section.line, what);
             } else if !known.iter().any(|k| k.name() == section.name) {
                 let names: Vec<&str> = known.iter().map(|k| k.section).collect();
                 let what = format!(
@@ -26,7 +26,7 @@
                     section.name,
                     names.join(", ")
                 );
-                problems.add(section.line, what);
+                diagnostics.add(section.line, what);
             } else {
                 found.push(section);
             }
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parse.rs
@@ -124,7 +124,7 @@
     insta::assert_snapshot!(errors(&huge));
     let garbage = "garbage\n".repeat(10_000);
     let found = Config::parse(&garbage, "f").unwrap_err();
-    expect_that!(found.as_slice().len(), eq(ConfigErrors::MOST));
+    expect_that!(found.as_slice().len(), eq(ConfigErrors::MAX_ERRORS));
 }
 
 #[gtest]
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use eelgrassmill_config::{
-    ConfigErrors, Key, Problems, Reader, SectionKeys, Sections, ValueType, defaulted, required,
+    ConfigErrors, Diagnostics, Key, Reader, SectionKeys, Sections, ValueType, defaulted, required,
 };
 
 use crate::config::{Addresses, GatewayConfig, RetryBudgetConfig};
@@ -200,20 +200,20 @@
     /// # Errors
     /// All mistakes, each with its line.
     pub fn parse(name: &str, text: &str) -> Result<Settings, ConfigErrors> {
-        let mut problems = Problems::new(name);
-        let found = Sections::read(text, SECTIONS, &mut problems);
+        let mut diagnostics = Diagnostics::new(name);
+        let found = Sections::read(text, SECTIONS, &mut diagnostics);
         let mut read = Parts {
             found: &found,
-            problems: &mut problems,
+            diagnostics: &mut diagnostics,
         };
         let settings = read.settings();
-        problems.finish(settings)
+        diagnostics.finish(settings)
     }
 }
 
 struct Parts<'a> {
     found: &'a Sections,
-    problems: &'a mut Problems,
+    diagnostics: &'a mut Diagnostics,
 }
 
 impl Parts<'_> {
@@ -221,10 +221,10 @@
         &mut self,
         name: &str,
         keys: &'static [Key],
-        read: impl Fn(&Reader<'_>, &mut Problems) -> T,
+        read: impl Fn(&Reader<'_>, &mut Diagnostics) -> T,
     ) -> T {
-        let reader = Reader::new(self.found.get(name), &[keys], self.problems);
-        read(&reader, self.problems)
+        let reader = Reader::new(self.found.get(name), &[keys], self.diagnostics);
+        read(&reader, self.diagnostics)
     }
 
     fn settings(&mut self) -> Settings {
--- a/crates/node/src/settings.rs
+++ b/crates/node/src/settings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use eelgrassmill_base::{FailureDomain, NodeId, Region, value};
-use eelgrassmill_config::{ConfigErrors, Problems, Sections};
+use eelgrassmill_config::{ConfigErrors, Diagnostics, Sections};
 
 use crate::admin_token::TokenHash;
 use crate::settings_keys as keys;
@@ -155,10 +155,10 @@
         file: &str,
         read_file: impl Fn(&str) -> io::Result<String>,
     ) -> Result<Settings, ConfigErrors> {
-        let mut problems = Problems::new(file);
-        let sections = Sections::read(text, keys::SETTINGS_SECTIONS, &mut problems);
-        let settings = read::settings(&sections, &read_file, &mut problems);
-        problems.finish(settings)
+        let mut diagnostics = Diagnostics::new(file);
+        let sections = Sections::read(text, keys::SETTINGS_SECTIONS, &mut diagnostics);
+        let settings = read::settings(&sections, &read_file, &mut diagnostics);
+        diagnostics.finish(settings)
     }
 }
 
