--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -11,8 +11,8 @@
 mod keys;
 mod model;
 mod parse;
-mod reader;
 mod references;
+mod section_reader;
 mod sections;
 mod text_keys;
 mod units;
@@ -29,7 +29,7 @@
 pub use crate::model::{
     Config, ModelService, NodeRule, RepairWeight, Service, ServiceKind, TargetRule, Tenant,
 };
-pub use crate::reader::Reader;
+pub use crate::section_reader::SectionReader;
 pub use crate::sections::Sections;
 pub use crate::text_keys::TEXT_SECTIONS;
 pub use crate::units::{MAX_NAME, format_duration, is_name, parse_duration};
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -8,7 +8,7 @@
 use crate::document::{Section, read_sections};
 use crate::model::ModelService;
 use crate::model::{Config, NodeRule, RepairWeight, Service, ServiceKind, TargetRule, Tenant};
-use crate::reader::Reader;
+use crate::section_reader::SectionReader;
 use crate::units::is_name;
 use crate::{references, text_keys};
 
@@ -93,7 +93,7 @@
     }
 
     fn take_fleet(&mut self, section: &Section, diagnostics: &mut Diagnostics) {
-        let reader = Reader::new(section, &[text_keys::FLEET], diagnostics);
+        let reader = SectionReader::new(section, &[text_keys::FLEET], diagnostics);
         self.config.repair = match reader.choice("repair", diagnostics) {
             "stranded" => RepairWeight::Stranded,
             _ => RepairWeight::Downtime,
@@ -101,7 +101,7 @@
     }
 
     fn take_tenant(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
-        let reader = Reader::new(section, &[text_keys::TENANT], diagnostics);
+        let reader = SectionReader::new(section, &[text_keys::TENANT], diagnostics);
         let tenant = Tenant {
             name: name.clone(),
             token_sha256: reader
@@ -116,18 +116,18 @@
     }
 
     fn take_target(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
-        let reader = Reader::new(section, &[text_keys::TARGET], diagnostics);
+        let reader = SectionReader::new(section, &[text_keys::TARGET], diagnostics);
         let rule = TargetRule {
-            checks_orders: reader.yes("checks_orders", diagnostics),
-            drain: reader.yes("drain", diagnostics),
+            checks_orders: reader.boolean("checks_orders", diagnostics),
+            drain: reader.boolean("drain", diagnostics),
         };
         self.config.targets.insert(name, rule);
     }
 
     fn take_node(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
-        let reader = Reader::new(section, &[text_keys::NODE], diagnostics);
+        let reader = SectionReader::new(section, &[text_keys::NODE], diagnostics);
         let rule = NodeRule {
-            drain: reader.yes("drain", diagnostics),
+            drain: reader.boolean("drain", diagnostics),
         };
         self.config.nodes.insert(name, rule);
     }
@@ -152,7 +152,7 @@
                 return;
             }
         };
-        let reader = Reader::new(section, &[text_keys::SERVICE, kind_keys], diagnostics);
+        let reader = SectionReader::new(section, &[text_keys::SERVICE, kind_keys], diagnostics);
         let kind = match kind_entry.value.as_str() {
             "model" => ServiceKind::Model(read_model(&reader, diagnostics)),
             "plain" => read_plain(&reader, diagnostics),
@@ -175,7 +175,7 @@
 fn read_common(
     name: SmolStr,
     kind: ServiceKind,
-    reader: &Reader<'_>,
+    reader: &SectionReader<'_>,
     diagnostics: &mut Diagnostics,
 ) -> Service {
     // A plain service's calls may have effects outside of the system, so
@@ -186,7 +186,7 @@
         kind,
         depends_on: reader.names("depends_on", diagnostics),
         repeatable: reader
-            .yes_or_absent("repeatable", diagnostics)
+            .optional_boolean("repeatable", diagnostics)
             .unwrap_or(repeatable_default),
         keep_answers: reader.duration("keep_answers", diagnostics),
         timeout: reader.duration("timeout", diagnostics),
@@ -194,14 +194,14 @@
     }
 }
 
-fn read_model(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> ModelService {
+fn read_model(reader: &SectionReader<'_>, diagnostics: &mut Diagnostics) -> ModelService {
     let groups = reader.number("groups", diagnostics);
     let slots = reader.number("slots", diagnostics);
     let floor = reader
-        .number_or_absent("floor", diagnostics)
+        .optional_number("floor", diagnostics)
         .unwrap_or(groups.saturating_sub(1));
     let urgent_slots = reader
-        .number_or_absent("urgent_slots", diagnostics)
+        .optional_number("urgent_slots", diagnostics)
         .unwrap_or(slots / 8);
     if floor > groups {
         let what = format!("`floor` is above `groups`, write at most {groups}");
@@ -222,7 +222,7 @@
     }
 }
 
-fn read_plain(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> ServiceKind {
+fn read_plain(reader: &SectionReader<'_>, diagnostics: &mut Diagnostics) -> ServiceKind {
     let targets = reader.names("targets", diagnostics);
     ServiceKind::Plain {
         targets,
@@ -230,7 +230,7 @@
     }
 }
 
-fn read_adapter(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> ServiceKind {
+fn read_adapter(reader: &SectionReader<'_>, diagnostics: &mut Diagnostics) -> ServiceKind {
     let base = reader.name("base", diagnostics);
     ServiceKind::Adapter {
         base,
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/section_reader.rs
@@ -16,20 +16,20 @@
 /// limits, so that one mistake doesn't hide the next; such values never get
 /// out, because a reader with problems yields no result.
 #[derive(Debug)]
-pub struct Reader<'a> {
+pub struct SectionReader<'a> {
     section: &'a Section,
     keys: Vec<&'static Key>,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> SectionReader<'a> {
     /// Checks the entries' names against `tables`; unknown, repeated and missing ones are reported.
     pub fn new(
         section: &'a Section,
         tables: &[&'static [Key]],
         diagnostics: &mut Diagnostics,
-    ) -> Reader<'a> {
+    ) -> SectionReader<'a> {
         let keys: Vec<&'static Key> = tables.iter().flat_map(|t| t.iter()).collect();
-        let reader = Reader { section, keys };
+        let reader = SectionReader { section, keys };
         reader.check_names(diagnostics);
         reader.check_required(diagnostics);
         reader
@@ -119,7 +119,7 @@
     }
 
     /// A whole number; `None` when it is left out or wrong.
-    pub fn number_or_absent(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<u32> {
+    pub fn optional_number(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<u32> {
         self.value(name, diagnostics, |text, value_type| {
             let ValueType::Number { min, max } = value_type else {
                 return None;
@@ -136,7 +136,7 @@
             return 0;
         };
         let lowest = u32::try_from(min).unwrap_or(u32::MAX);
-        self.number_or_absent(name, diagnostics).unwrap_or(lowest)
+        self.optional_number(name, diagnostics).unwrap_or(lowest)
     }
 
     /// A number with decimals; zero when wrong.
@@ -174,7 +174,7 @@
     }
 
     /// A `yes` or `no`; `None` when it is left out or wrong.
-    pub fn yes_or_absent(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<bool> {
+    pub fn optional_boolean(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<bool> {
         self.value(name, diagnostics, |text, _| match text {
             "yes" => Some(true),
             "no" => Some(false),
@@ -183,7 +183,7 @@
     }
 
     /// A `yes` or `no`.
-    pub fn yes(&self, name: &str, diagnostics: &mut Diagnostics) -> bool {
+    pub fn boolean(&self, name: &str, diagnostics: &mut Diagnostics) -> bool {
         self.choice(name, diagnostics) == "yes"
     }
 
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use eelgrassmill_config::{
-    ConfigErrors, Diagnostics, Key, Reader, SectionKeys, Sections, ValueType, defaulted, required,
+    ConfigErrors, Diagnostics, Key, SectionKeys, SectionReader, Sections, ValueType, defaulted,
+    required,
 };
 
 use crate::config::{Addresses, GatewayConfig, RetryBudgetConfig};
@@ -221,9 +222,9 @@
         &mut self,
         name: &str,
         keys: &'static [Key],
-        read: impl Fn(&Reader<'_>, &mut Diagnostics) -> T,
+        read: impl Fn(&SectionReader<'_>, &mut Diagnostics) -> T,
     ) -> T {
-        let reader = Reader::new(self.found.get(name), &[keys], self.diagnostics);
+        let reader = SectionReader::new(self.found.get(name), &[keys], self.diagnostics);
         read(&reader, self.diagnostics)
     }
 
@@ -235,7 +236,7 @@
                 r.name("region", p),
                 r.name("failure_domain", p),
             );
-            (names.0, names.1, names.2, r.yes("first_start", p))
+            (names.0, names.1, names.2, r.boolean("first_start", p))
         });
         let processor = self.read("node", NODE, |r, p| {
             let cores = r.decimal("processor_share", p) * r.decimal("processor_cores", p);
--- a/crates/node/src/settings_read.rs
+++ b/crates/node/src/settings_read.rs
@@ -3,7 +3,7 @@
 use std::io;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use eelgrassmill_config::{Diagnostics, Key, Reader, Section, Sections};
+use eelgrassmill_config::{Diagnostics, Key, Section, SectionReader, Sections};
 
 use crate::admin_token::{MIN_TOKEN, TokenHash};
 use crate::settings::{Limits, LogSettings, PlatformAddresses, Settings, Timing};
@@ -13,12 +13,12 @@
 pub(crate) fn defaults<T>(
     name: &str,
     table: &'static [Key],
-    read: impl Fn(&Reader<'_>, &mut Diagnostics) -> T,
+    read: impl Fn(&SectionReader<'_>, &mut Diagnostics) -> T,
 ) -> T {
     let mut diagnostics = Diagnostics::new("defaults");
     let section = Section::empty(name);
     read(
-        &Reader::new(&section, &[table], &mut diagnostics),
+        &SectionReader::new(&section, &[table], &mut diagnostics),
         &mut diagnostics,
     )
 }
@@ -29,10 +29,10 @@
     read_file: &impl Fn(&str) -> io::Result<String>,
     diagnostics: &mut Diagnostics,
 ) -> Settings {
-    let node = Reader::new(sections.get("node"), &[keys::NODE], diagnostics);
-    let admin = Reader::new(sections.get("admin"), &[keys::ADMIN], diagnostics);
-    let peers = Reader::new(sections.get("peers"), &[keys::PEERS], diagnostics);
-    let listen = Reader::new(sections.get("listen"), &[keys::LISTEN], diagnostics);
+    let node = SectionReader::new(sections.get("node"), &[keys::NODE], diagnostics);
+    let admin = SectionReader::new(sections.get("admin"), &[keys::ADMIN], diagnostics);
+    let peers = SectionReader::new(sections.get("peers"), &[keys::PEERS], diagnostics);
+    let listen = SectionReader::new(sections.get("listen"), &[keys::LISTEN], diagnostics);
     let settings = Settings {
         node: node.name("id", diagnostics),
         region: node.name("region", diagnostics),
@@ -41,22 +41,22 @@
         admin: own_address(&listen, "admin", diagnostics),
         peers: own_address(&listen, "peers", diagnostics),
         platform: platform(
-            &Reader::new(sections.get("platform"), &[keys::PLATFORM], diagnostics),
+            &SectionReader::new(sections.get("platform"), &[keys::PLATFORM], diagnostics),
             diagnostics,
         ),
         admin_token: admin_token(&admin, read_file, diagnostics),
         admin_connections: admin.number("connections", diagnostics),
         seeds: peers.addresses("seeds", diagnostics),
         timing: timing(
-            &Reader::new(sections.get("timing"), &[keys::TIMING], diagnostics),
+            &SectionReader::new(sections.get("timing"), &[keys::TIMING], diagnostics),
             diagnostics,
         ),
         limits: limits(
-            &Reader::new(sections.get("limits"), &[keys::LIMITS], diagnostics),
+            &SectionReader::new(sections.get("limits"), &[keys::LIMITS], diagnostics),
             diagnostics,
         ),
         log: log(
-            &Reader::new(sections.get("log"), &[keys::LOG], diagnostics),
+            &SectionReader::new(sections.get("log"), &[keys::LOG], diagnostics),
             diagnostics,
         ),
     };
@@ -67,7 +67,7 @@
 const NO_ADDRESS: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 
 /// An address that others are told: one that nobody can connect to would lose their calls.
-fn own_address(reader: &Reader<'_>, key: &str, diagnostics: &mut Diagnostics) -> SocketAddr {
+fn own_address(reader: &SectionReader<'_>, key: &str, diagnostics: &mut Diagnostics) -> SocketAddr {
     let Some(address) = reader.address(key, diagnostics) else {
         return NO_ADDRESS;
     };
@@ -78,7 +78,11 @@
     address
 }
 
-fn check_ports_differ(settings: &Settings, listen: &Reader<'_>, diagnostics: &mut Diagnostics) {
+fn check_ports_differ(
+    settings: &Settings,
+    listen: &SectionReader<'_>,
+    diagnostics: &mut Diagnostics,
+) {
     let all = [
         ("callers", settings.callers),
         ("admin", settings.admin),
@@ -95,7 +99,7 @@
     }
 }
 
-fn platform(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> PlatformAddresses {
+fn platform(reader: &SectionReader<'_>, diagnostics: &mut Diagnostics) -> PlatformAddresses {
     let table = reader.address("table", diagnostics).unwrap_or(NO_ADDRESS);
     PlatformAddresses {
         table,
@@ -106,7 +110,7 @@
 }
 
 fn admin_token(
-    reader: &Reader<'_>,
+    reader: &SectionReader<'_>,
     read_file: &impl Fn(&str) -> io::Result<String>,
     diagnostics: &mut Diagnostics,
 ) -> TokenHash {
@@ -144,7 +148,7 @@
     }
 }
 
-pub(crate) fn timing(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> Timing {
+pub(crate) fn timing(reader: &SectionReader<'_>, diagnostics: &mut Diagnostics) -> Timing {
     let timing = Timing {
         lease_term: reader.duration("lease_term", diagnostics),
         clock_margin: reader.duration("clock_margin", diagnostics),
@@ -162,13 +166,13 @@
     timing
 }
 
-pub(crate) fn limits(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> Limits {
+pub(crate) fn limits(reader: &SectionReader<'_>, diagnostics: &mut Diagnostics) -> Limits {
     Limits {
         connections: reader.number("connections", diagnostics),
     }
 }
 
-pub(crate) fn log(reader: &Reader<'_>, diagnostics: &mut Diagnostics) -> LogSettings {
+pub(crate) fn log(reader: &SectionReader<'_>, diagnostics: &mut Diagnostics) -> LogSettings {
     LogSettings {
         json: reader.choice("format", diagnostics) == "json",
         level: reader.choice("level", diagnostics),
