--- a/crates/config/src/applied.rs
+++ b/crates/config/src/applied.rs
@@ -15,7 +15,7 @@
 /// Invariants: `version` never falls; `checksum` is that of `text`, and
 /// `config` is what `text` says.
 #[derive(Clone, Debug)]
-pub struct Applied {
+pub struct AppliedConfig {
     version: ConfigVersion,
     text: Arc<str>,
     checksum: SmolStr,
@@ -24,37 +24,37 @@
 
 value! { copy
     /// What became of an offered version.
-    pub enum Offered {
+    pub enum ApplyOutcome {
         /// It is in force now, in place of version `from`.
         Applied {
             /// The version before.
             from: ConfigVersion,
         },
         /// It was in force already.
-        InForce,
+        Unchanged,
     }
 }
 
 /// Why an offered version is not applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum OfferError {
+pub enum ApplyError {
     /// It is older than what is in force; the sender is behind.
-    #[error("version {offered} offered, {in_force} is in force")]
-    Older {
+    #[error("version {offered} offered, {current} is in force")]
+    Stale {
         /// The version offered.
         offered: ConfigVersion,
         /// The version in force.
-        in_force: ConfigVersion,
+        current: ConfigVersion,
     },
     /// The text isn't the one that was accepted: damaged or wrongly put together on the way.
     #[error("the text of version {0} does not have its checksum")]
-    Checksum(ConfigVersion),
+    ChecksumMismatch(ConfigVersion),
     /// Two texts under one version, which one row of the table can't give.
     #[error("version {0} is in force with another text")]
-    Fork(ConfigVersion),
+    VersionConflict(ConfigVersion),
     /// The text can't be read, though it was accepted: the acceptor knows keys that this node doesn't.
     #[error("version {version} can't be read: {errors}")]
-    Unreadable {
+    Invalid {
         /// The version offered.
         version: ConfigVersion,
         /// Its mistakes as this node sees them.
@@ -62,16 +62,16 @@
     },
 }
 
-impl Default for Applied {
-    fn default() -> Applied {
-        Applied::empty()
+impl Default for AppliedConfig {
+    fn default() -> AppliedConfig {
+        AppliedConfig::empty()
     }
 }
 
-impl Applied {
+impl AppliedConfig {
     /// Version 0: nothing accepted yet, or nothing heard of.
-    pub fn empty() -> Applied {
-        Applied {
+    pub fn empty() -> AppliedConfig {
+        AppliedConfig {
             version: 0,
             text: "".into(),
             checksum: checksum(""),
@@ -102,9 +102,9 @@
     /// Applies the row of the table.
     ///
     /// # Errors
-    /// As [`Applied::offer`].
-    pub fn offer_row(&mut self, row: &CurrentRow) -> Result<Offered, OfferError> {
-        self.offer(row.version, &row.text, &row.checksum)
+    /// As [`AppliedConfig::apply`].
+    pub fn apply_row(&mut self, row: &CurrentRow) -> Result<ApplyOutcome, ApplyError> {
+        self.apply(row.version, &row.text, &row.checksum)
     }
 
     /// Applies `text` as `version`, from the table or a peer, when it is newer.
@@ -112,37 +112,37 @@
     /// # Errors
     /// When it is older, damaged, unreadable or another text of the same version;
     /// what is in force stays.
-    pub fn offer(
+    pub fn apply(
         &mut self,
         version: ConfigVersion,
         text: &str,
         sum: &str,
-    ) -> Result<Offered, OfferError> {
+    ) -> Result<ApplyOutcome, ApplyError> {
         if version < self.version {
-            return Err(OfferError::Older {
+            return Err(ApplyError::Stale {
                 offered: version,
-                in_force: self.version,
+                current: self.version,
             });
         }
         if checksum(text) != sum {
-            return Err(OfferError::Checksum(version));
+            return Err(ApplyError::ChecksumMismatch(version));
         }
         if version == self.version {
             return if sum == self.checksum {
-                Ok(Offered::InForce)
+                Ok(ApplyOutcome::Unchanged)
             } else {
-                Err(OfferError::Fork(version))
+                Err(ApplyError::VersionConflict(version))
             };
         }
         let config = Config::parse(text, "text")
-            .map_err(|errors| OfferError::Unreadable { version, errors })?;
+            .map_err(|errors| ApplyError::Invalid { version, errors })?;
         let from = self.version;
-        *self = Applied {
+        *self = AppliedConfig {
             version,
             text: text.into(),
             checksum: sum.into(),
             config: Arc::new(config),
         };
-        Ok(Offered::Applied { from })
+        Ok(ApplyOutcome::Applied { from })
     }
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operators' text: parse, check, compare, canonical form and version.
 //!
 //! Pure: nothing here reads a file, a clock or the table. [`decide_submit`]
-//! says which rows a submission writes, [`Applied`] what a node has in force.
+//! says which rows a submission writes, [`AppliedConfig`] what a node has in force.
 
 mod accept;
 mod applied;
@@ -21,7 +21,7 @@
     Acceptance, Accepted, CURRENT_KEY, Conflict, CurrentRow, Decision, HEAD_KEY, HeadRow, LOG_KEPT,
     LOG_PREFIX, LogRow, RECENT_KEPT, RowWrite, Submit, decide_submit, log_key,
 };
-pub use crate::applied::{Applied, OfferError, Offered};
+pub use crate::applied::{AppliedConfig, ApplyError, ApplyOutcome};
 pub use crate::canonical::{Change, SectionName, canonical, checksum, diff};
 pub use crate::diagnostics::{ConfigError, ConfigErrors, Diagnostics};
 pub use crate::document::{Entry, MAX_TEXT, Section, read_sections};
--- a/crates/config/tests/accept.rs
+++ b/crates/config/tests/accept.rs
@@ -5,8 +5,8 @@
 use common::rows::Rows;
 use common::{TEXT, runner};
 use eelgrassmill_config::{
-    Applied, CURRENT_KEY, CurrentRow, Decision, HEAD_KEY, HeadRow, LOG_KEPT, LogRow, OfferError,
-    Offered, RECENT_KEPT, Submit, checksum, decide_submit, log_key,
+    AppliedConfig, ApplyError, ApplyOutcome, CURRENT_KEY, CurrentRow, Decision, HEAD_KEY, HeadRow,
+    LOG_KEPT, LogRow, RECENT_KEPT, Submit, checksum, decide_submit, log_key,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -148,7 +148,7 @@
 fn versions_only_rise_at_a_node() {
     let offers = prop::collection::vec((0u64..6, any::<bool>()), 1..30);
     let tested = runner(6).run(&offers, |offers| {
-        let mut node = Applied::empty();
+        let mut node = AppliedConfig::empty();
         for (version, damaged) in offers {
             let text = format!("[tenant t]\ntoken_sha256 = {version:064x}\n");
             let sum = if damaged {
@@ -157,11 +157,11 @@
                 checksum(&text)
             };
             let before = node.version();
-            let offered = node.offer(version, &text, &sum);
+            let offered = node.apply(version, &text, &sum);
             prop_assert!(node.version() >= before);
             prop_assert_eq!(checksum(node.text()), node.checksum().clone());
             prop_assert_eq!(
-                offered == Ok(Offered::Applied { from: before }),
+                offered == Ok(ApplyOutcome::Applied { from: before }),
                 !damaged && version > before
             );
         }
@@ -172,29 +172,32 @@
 
 #[gtest]
 fn what_a_node_refuses_leaves_its_text_in_force() {
-    let mut node = Applied::empty();
+    let mut node = AppliedConfig::empty();
     let sum = checksum(TEXT);
     expect_that!(
-        node.offer(2, TEXT, &sum),
-        ok(eq(&Offered::Applied { from: 0 }))
+        node.apply(2, TEXT, &sum),
+        ok(eq(&ApplyOutcome::Applied { from: 0 }))
     );
-    expect_that!(node.offer(2, TEXT, &sum), ok(eq(&Offered::InForce)));
-    let older = OfferError::Older {
+    expect_that!(node.apply(2, TEXT, &sum), ok(eq(&ApplyOutcome::Unchanged)));
+    let stale = ApplyError::Stale {
         offered: 1,
-        in_force: 2,
+        current: 2,
     };
-    expect_that!(node.offer(1, TEXT, &sum), err(eq(&older)));
+    expect_that!(node.apply(1, TEXT, &sum), err(eq(&stale)));
     let half = &TEXT[..TEXT.len() / 2];
-    expect_that!(node.offer(3, half, &sum), err(eq(&OfferError::Checksum(3))));
     expect_that!(
-        node.offer(2, "", &checksum("")),
-        err(eq(&OfferError::Fork(2)))
+        node.apply(3, half, &sum),
+        err(eq(&ApplyError::ChecksumMismatch(3)))
+    );
+    expect_that!(
+        node.apply(2, "", &checksum("")),
+        err(eq(&ApplyError::VersionConflict(2)))
     );
     let newer_keys = "[fleet]\nnovel = 1\n";
-    let unread = node.offer(3, newer_keys, &checksum(newer_keys));
+    let unread = node.apply(3, newer_keys, &checksum(newer_keys));
     expect_that!(
         unread,
-        err(matches_pattern!(OfferError::Unreadable {
+        err(matches_pattern!(ApplyError::Invalid {
             version: eq(&3),
             ..
         }))
--- a/crates/node/src/apply.rs
+++ b/crates/node/src/apply.rs
@@ -1,6 +1,6 @@
 //! Putting an accepted configuration in force at this node.
 
-use eelgrassmill_config::Offered;
+use eelgrassmill_config::ApplyOutcome;
 use eelgrassmill_peer::{ConfigAnnouncement, ConfigText, Item, PeerNode};
 use eelgrassmill_timeline::EventKind;
 
@@ -17,7 +17,7 @@
         return;
     }
     match core.config.offer(text) {
-        Ok(Offered::Applied { from }) => {
+        Ok(ApplyOutcome::Applied { from }) => {
             let to = text.version;
             core.set_services(&core.config.config());
             core.journal.note(EventKind::ConfigApplied { from, to });
@@ -27,7 +27,7 @@
                 checksum: text.checksum.clone(),
             }));
         }
-        Ok(Offered::InForce) => {}
+        Ok(ApplyOutcome::Unchanged) => {}
         // The reader offers the same text at each reading.
         Err(_) if core.config.is_refused(text) => {}
         Err(err) => {
--- a/crates/node/src/state/config.rs
+++ b/crates/node/src/state/config.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 
 use eelgrassmill_base::{ConfigVersion, SubmitId};
-use eelgrassmill_config::{Applied, Config, OfferError, Offered};
+use eelgrassmill_config::{AppliedConfig, ApplyError, ApplyOutcome, Config};
 use eelgrassmill_peer::ConfigText;
 use smol_str::SmolStr;
 
@@ -14,7 +14,7 @@
 const FORMER_KEPT: usize = 8;
 
 struct Held {
-    applied: Applied,
+    applied: AppliedConfig,
     author: SmolStr,
     submit_id: SubmitId,
     former: VecDeque<ConfigText>,
@@ -31,7 +31,7 @@
     pub(crate) fn new() -> ConfigCell {
         ConfigCell {
             held: Mutex::new(Held {
-                applied: Applied::empty(),
+                applied: AppliedConfig::empty(),
                 author: SmolStr::default(),
                 submit_id: SubmitId::default(),
                 former: VecDeque::new(),
@@ -49,13 +49,13 @@
     }
 
     /// Applies `text` when it is newer than what is in force.
-    pub(crate) fn offer(&self, text: &ConfigText) -> Result<Offered, OfferError> {
+    pub(crate) fn offer(&self, text: &ConfigText) -> Result<ApplyOutcome, ApplyError> {
         let mut held = lock(&self.held);
         let before = held.text();
         let offered = held
             .applied
-            .offer(text.version, &text.text, &text.checksum)?;
-        if let Offered::Applied { .. } = offered {
+            .apply(text.version, &text.text, &text.checksum)?;
+        if let ApplyOutcome::Applied { .. } = offered {
             held.author = text.author.clone();
             held.submit_id = text.submit_id.clone();
             held.remember(before);
