--- a/crates/config/src/canonical.rs
+++ b/crates/config/src/canonical.rs
@@ -7,7 +7,7 @@
 use sha2::{Digest, Sha256};
 use smol_str::SmolStr;
 
-use crate::model::{Config, NodeRule, RepairWeight, Service, ServiceKind, TargetRule, Tenant};
+use crate::model::{Config, NodeRule, RepairObjective, Service, ServiceKind, TargetRule, Tenant};
 use crate::units::format_duration;
 
 /// Digits of a token's SHA-256 that are shown in a difference.
@@ -184,8 +184,8 @@
 
 fn fleet_entries(config: &Config) -> Entries {
     let repair = match config.repair {
-        RepairWeight::Downtime => "downtime",
-        RepairWeight::Stranded => "stranded",
+        RepairObjective::Downtime => "downtime",
+        RepairObjective::Stranded => "stranded",
     };
     vec![("repair", repair.to_owned())]
 }
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -8,7 +8,7 @@
 
 value! { copy
     /// What the repair policy saves first when it can't have both.
-    pub enum RepairWeight {
+    pub enum RepairObjective {
         /// The time in which a group cannot serve.
         Downtime,
         /// Healthy accelerators that sit idle in incomplete groups.
@@ -23,7 +23,7 @@
     /// dependencies have no cycle; every number is within its limits.
     pub struct Config {
         /// What the repair policy weighs first.
-        pub repair: RepairWeight,
+        pub repair: RepairObjective,
         /// Services by name.
         pub services: BTreeMap<ServiceName, Service>,
         /// Tenants by name.
@@ -121,7 +121,7 @@
     /// The empty text: no service, no tenant.
     fn default() -> Config {
         Config {
-            repair: RepairWeight::Downtime,
+            repair: RepairObjective::Downtime,
             services: BTreeMap::new(),
             tenants: BTreeMap::new(),
             targets: BTreeMap::new(),
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -7,7 +7,7 @@
 use crate::diagnostics::{ConfigErrors, Diagnostics};
 use crate::document::{Section, read_sections};
 use crate::model::ModelService;
-use crate::model::{Config, NodeRule, RepairWeight, Service, ServiceKind, TargetRule, Tenant};
+use crate::model::{Config, NodeRule, RepairObjective, Service, ServiceKind, TargetRule, Tenant};
 use crate::section_reader::SectionReader;
 use crate::units::is_name;
 use crate::{references, text_keys};
@@ -95,8 +95,8 @@
     fn take_fleet(&mut self, section: &Section, diagnostics: &mut Diagnostics) {
         let reader = SectionReader::new(section, &[text_keys::FLEET], diagnostics);
         self.config.repair = match reader.choice("repair", diagnostics) {
-            "stranded" => RepairWeight::Stranded,
-            _ => RepairWeight::Downtime,
+            "stranded" => RepairObjective::Stranded,
+            _ => RepairObjective::Downtime,
         };
     }
 
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use eelgrassmill_config::{
-    Config, ModelService, NodeRule, RepairWeight, Service, ServiceKind, TargetRule, Tenant,
+    Config, ModelService, NodeRule, RepairObjective, Service, ServiceKind, TargetRule, Tenant,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -129,9 +129,9 @@
     (any::<bool>(), services, tenants, rules, nodes).prop_map(
         |(stranded, services, tenants, rules, nodes)| Config {
             repair: if stranded {
-                RepairWeight::Stranded
+                RepairObjective::Stranded
             } else {
-                RepairWeight::Downtime
+                RepairObjective::Downtime
             },
             services: services.into_iter().map(|s| (s.name.clone(), s)).collect(),
             tenants: tenants.into_iter().map(|t| (t.name.clone(), t)).collect(),
--- a/crates/group/examples/repair/cost.rs
+++ b/crates/group/examples/repair/cost.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use eelgrassmill_config::RepairWeight;
+use eelgrassmill_config::RepairObjective;
 use eelgrassmill_group::{Evidence, EvidenceStore, GroupWatch, RepairPolicy, Verdict, plan};
 
 use crate::fleets::Fleet;
@@ -85,7 +85,7 @@
 
 fn costs_at(scale: usize) -> Vec<Cost> {
     let fleet = Fleet::of_groups(11 * scale);
-    let mut sim = fleet.form(RepairPolicy::new(RepairWeight::Downtime));
+    let mut sim = fleet.form(RepairPolicy::new(RepairObjective::Downtime));
     sim.warm_all();
     assert!(
         plan(&sim.view, &sim.policy, sim.now).is_empty(),
--- a/crates/group/examples/repair/fleets.rs
+++ b/crates/group/examples/repair/fleets.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use eelgrassmill_base::ServiceName;
-use eelgrassmill_config::{Config, ModelService, RepairWeight, Service, ServiceKind, TargetRule};
+use eelgrassmill_config::{
+    Config, ModelService, RepairObjective, Service, ServiceKind, TargetRule,
+};
 use eelgrassmill_group::RepairPolicy;
 use smol_str::{SmolStr, format_smolstr};
 
@@ -51,7 +53,7 @@
         )
     };
     Config {
-        repair: RepairWeight::Downtime,
+        repair: RepairObjective::Downtime,
         services: services.into_iter().collect(),
         tenants: BTreeMap::new(),
         nodes: BTreeMap::new(),
--- a/crates/group/examples/repair/main.rs
+++ b/crates/group/examples/repair/main.rs
@@ -9,7 +9,7 @@
 
 use std::time::Duration;
 
-use eelgrassmill_config::RepairWeight;
+use eelgrassmill_config::RepairObjective;
 use eelgrassmill_group::{RepairPolicy, RepairStrategy};
 
 use crate::fleets::Fleet;
@@ -94,7 +94,7 @@
 }
 
 fn policy(strategy: RepairStrategy) -> RepairPolicy {
-    RepairPolicy::new(RepairWeight::Downtime).with_strategy(strategy)
+    RepairPolicy::new(RepairObjective::Downtime).with_strategy(strategy)
 }
 
 fn run_script(start: &Simulation, size: usize, script: &Script) -> Totals {
--- a/crates/group/src/plan/policy.rs
+++ b/crates/group/src/plan/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use eelgrassmill_config::RepairWeight;
+use eelgrassmill_config::RepairObjective;
 
 use crate::lease::LeaseTiming;
 
@@ -23,7 +23,7 @@
     /// How a broken group is repaired.
     pub strategy: RepairStrategy,
     /// Whether downtime or stranded accelerators are minimized first.
-    pub weight: RepairWeight,
+    pub weight: RepairObjective,
     /// Time without a probe response after which a host counts as missing.
     pub detection_timeout: Duration,
     /// Assumed time from ending a group until it is whole again if all its hosts are warm.
@@ -56,7 +56,7 @@
 
 impl RepairPolicy {
     /// The defaults for a repair weight.
-    pub fn new(weight: RepairWeight) -> RepairPolicy {
+    pub fn new(weight: RepairObjective) -> RepairPolicy {
         RepairPolicy {
             strategy: RepairStrategy::CostBased,
             weight,
--- a/crates/group/src/plan/preempt.rs
+++ b/crates/group/src/plan/preempt.rs
@@ -1,6 +1,6 @@
 //! Preempts a group of one service for another service that needs its hosts more.
 
-use eelgrassmill_config::RepairWeight;
+use eelgrassmill_config::RepairObjective;
 
 use crate::plan::end::end_group;
 use crate::plan::form::has_capacity;
@@ -14,7 +14,7 @@
 ///
 /// A service below its required number of groups, which is its demand but at least its floor,
 /// preempts a group of another service that has more than it requires. With
-/// [`RepairWeight::Stranded`] it also preempts a broken group that isn't expected to recover,
+/// [`RepairObjective::Stranded`] it also preempts a broken group that isn't expected to recover,
 /// rather than leave its hosts idle.
 pub(crate) fn preempt_for_demand(round: &mut Round<'_>) {
     for service_index in 0..round.services.len() {
@@ -84,7 +84,7 @@
     let service = &round.services[victim];
     let surplus = group.is_serving() && service.serving() > service.required;
     let load = round.load_time(service.load_bytes, 1);
-    let stranded = round.policy.weight == RepairWeight::Stranded
+    let stranded = round.policy.weight == RepairObjective::Stranded
         && is_stuck(group)
         && wait_is_over(
             round,
--- a/crates/group/tests/failures.rs
+++ b/crates/group/tests/failures.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use eelgrassmill_base::{HostState, Order, OrderKind, Placement};
-use eelgrassmill_config::RepairWeight;
+use eelgrassmill_config::RepairObjective;
 use eelgrassmill_group::{GroupRow, MissingReason, NotServing, RepairPolicy};
 use googletest::prelude::*;
 use smol_str::SmolStr;
@@ -38,7 +38,7 @@
         .collect();
     let services = [fleets::service("a", 2, 2, 1), fleets::service("b", 1, 2, 1)];
     let config = fleets::config(services, checking.iter().map(SmolStr::as_str));
-    let mut cluster = Cluster::new(hosts, config, RepairPolicy::new(RepairWeight::Downtime));
+    let mut cluster = Cluster::new(hosts, config, RepairPolicy::new(RepairObjective::Downtime));
     assert!(
         cluster.run_until(30 * SECOND, all_served),
         "groups were not formed"
--- a/crates/group/tests/fuzz.rs
+++ b/crates/group/tests/fuzz.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use eelgrassmill_base::{HostState, Order, OrderKind, Placement};
-use eelgrassmill_config::{Config, RepairWeight, ServiceKind};
+use eelgrassmill_config::{Config, RepairObjective, ServiceKind};
 use eelgrassmill_group::{GroupPhase, GroupRow, RepairPolicy};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -98,7 +98,7 @@
             .collect();
         let services = [fleets::service("a", 2, 2, 1), fleets::service("b", 1, 2, 1)];
         let config = fleets::config(services, checking.iter().map(SmolStr::as_str));
-        let mut cluster = Cluster::new(hosts, config, RepairPolicy::new(RepairWeight::Downtime));
+        let mut cluster = Cluster::new(hosts, config, RepairPolicy::new(RepairObjective::Downtime));
         let served = cluster.run_until(Duration::from_secs(30), |c| c.served().len() == 3);
         assert!(served, "groups were not formed");
         cluster
--- a/crates/group/tests/plan.rs
+++ b/crates/group/tests/plan.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use eelgrassmill_config::{Config, RepairWeight, ServiceKind};
+use eelgrassmill_config::{Config, RepairObjective, ServiceKind};
 use eelgrassmill_group::{
     Action, EndReason, FailureScope, FreeReason, GroupPhase, GroupRow, Recovery, RecoveryModel,
     RepairPolicy, RowValue, Transaction,
@@ -29,7 +29,7 @@
 fn sim(
     services: &[(&str, u32, u32, u32)],
     fabrics: &[(usize, usize)],
-    weight: RepairWeight,
+    weight: RepairObjective,
 ) -> Simulation {
     let hosts = fleets::hosts(fabrics, 8);
     let services = services
@@ -91,7 +91,7 @@
     let sim = sim(
         &[("a", 6, 3, 1)],
         &[(0, 8), (1, 8), (2, 8)],
-        RepairWeight::Downtime,
+        RepairObjective::Downtime,
     );
     let rows = serving(&sim, "a");
     assert_that!(rows.len(), eq(6));
@@ -111,7 +111,11 @@
 
 #[gtest]
 fn a_rollout_with_spare_capacity_loses_none() {
-    let mut sim = sim(&[("a", 3, 2, 2)], &[(0, 5), (1, 5)], RepairWeight::Downtime);
+    let mut sim = sim(
+        &[("a", 3, 2, 2)],
+        &[(0, 5), (1, 5)],
+        RepairObjective::Downtime,
+    );
     reconfigure(&mut sim, |c| model(c, "a").version = "2".into());
     let fewest = min_serving(&mut sim, "a", 300 * SECOND);
     expect_that!(fewest, ge(3));
@@ -122,7 +126,11 @@
 /// Without spare hosts each group has to end before it can be re-formed.
 #[gtest]
 fn a_rollout_without_spare_capacity_keeps_the_floor() {
-    let mut sim = sim(&[("a", 4, 2, 3)], &[(0, 4), (1, 4)], RepairWeight::Downtime);
+    let mut sim = sim(
+        &[("a", 4, 2, 3)],
+        &[(0, 4), (1, 4)],
+        RepairObjective::Downtime,
+    );
     reconfigure(&mut sim, |c| model(c, "a").version = "2".into());
     let fewest = min_serving(&mut sim, "a", 300 * SECOND);
     expect_that!(fewest, eq(3));
@@ -136,7 +144,7 @@
 /// for a full load.
 #[gtest]
 fn a_brief_outage_does_not_end_the_last_group_of_a_rollout() {
-    let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
+    let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 4)], RepairObjective::Downtime);
     reconfigure(&mut sim, |c| model(c, "a").version = "2".into());
     while serving(&sim, "a").len() == 2 {
         sim.step();
@@ -168,7 +176,7 @@
         let mut sim = sim(
             &[("a", groups, 2, floor)],
             &[(0, hosts)],
-            RepairWeight::Downtime,
+            RepairObjective::Downtime,
         );
         reconfigure(&mut sim, |c| model(c, "a").version = "2".into());
         let known = sim.policy.propagation_delay;
@@ -199,7 +207,7 @@
 /// The rollout must not wait for it indefinitely.
 #[gtest]
 fn a_group_that_cannot_recover_does_not_block_a_rollout() {
-    let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
+    let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 2)], RepairObjective::Downtime);
     let old = serving(&sim, "a").remove(0);
     let host = sim.hosts.get_mut(&old.members[0]).unwrap();
     host.placement = None;
@@ -216,7 +224,7 @@
     let mut sim = sim(
         &[("a", 3, 2, 1), ("b", 1, 2, 1)],
         &[(0, 6), (1, 6)],
-        RepairWeight::Downtime,
+        RepairObjective::Downtime,
     );
     reconfigure(&mut sim, |c| model(c, "a").groups = 1);
     sim.run(60 * SECOND);
@@ -240,7 +248,7 @@
 /// An ending group keeps its hosts while requests are in progress.
 #[gtest]
 fn an_ending_group_is_drained_first() {
-    let mut sim = sim(&[("a", 1, 2, 0)], &[(0, 3)], RepairWeight::Downtime);
+    let mut sim = sim(&[("a", 1, 2, 0)], &[(0, 3)], RepairObjective::Downtime);
     let row = serving(&sim, "a").remove(0);
     sim.hosts.get_mut(&row.members[0]).unwrap().set_running(5);
     reconfigure(&mut sim, |c| model(c, "a").groups = 0);
@@ -259,7 +267,7 @@
     let mut sim = sim(
         &[("a", 24, 2, 8)],
         &[(0, 26), (1, 26)],
-        RepairWeight::Downtime,
+        RepairObjective::Downtime,
     );
     expect_that!(serving(&sim, "a").len(), eq(24));
     let unreachable: Vec<SmolStr> = sim
@@ -282,7 +290,7 @@
 /// completed with a host of the other.
 #[gtest]
 fn broken_groups_are_merged_when_no_spare_is_left() {
-    for weight in [RepairWeight::Downtime, RepairWeight::Stranded] {
+    for weight in [RepairObjective::Downtime, RepairObjective::Stranded] {
         let mut sim = sim(&[("a", 2, 3, 0)], &[(0, 6)], weight);
         let rows = serving(&sim, "a");
         for row in &rows {
@@ -299,7 +307,7 @@
     let mut sim = sim(
         &[("a", 2, 2, 1), ("b", 1, 2, 1)],
         &[(0, 4), (1, 2)],
-        RepairWeight::Downtime,
+        RepairObjective::Downtime,
     );
     let b = serving(&sim, "b").remove(0);
     for host in &b.members {
@@ -317,7 +325,10 @@
 /// downtime they must wait for the missing hosts.
 #[gtest]
 fn the_weight_decides_whether_healthy_hosts_wait() {
-    for (weight, expected) in [(RepairWeight::Downtime, 0), (RepairWeight::Stranded, 1)] {
+    for (weight, expected) in [
+        (RepairObjective::Downtime, 0),
+        (RepairObjective::Stranded, 1),
+    ] {
         let mut sim = sim(&[("a", 1, 4, 1), ("b", 1, 2, 1)], &[(0, 6)], weight);
         let (a, b) = (serving(&sim, "a").remove(0), serving(&sim, "b").remove(0));
         for host in b.members.iter().chain(&a.members[..2]) {
@@ -331,7 +342,7 @@
 /// A warm spare replaces a host without a load.
 #[gtest]
 fn spares_are_warmed_in_advance() {
-    let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 5)], RepairWeight::Downtime);
+    let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 5)], RepairObjective::Downtime);
     let spare = sim
         .hosts
         .values()
@@ -347,7 +358,7 @@
 /// An order is resent until the host's report confirms it, but not in every round.
 #[gtest]
 fn orders_are_resent_at_an_interval() {
-    let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 2)], RepairWeight::Downtime);
+    let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 2)], RepairObjective::Downtime);
     let row = serving(&sim, "a").remove(0);
     sim.hosts.get_mut(&row.members[0]).unwrap().ignores_orders = true;
     reconfigure(&mut sim, |c| model(c, "a").groups = 0);
@@ -395,7 +406,7 @@
 /// group.
 #[gtest]
 fn a_silent_host_is_freed_only_after_its_orders_expire() {
-    let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 4)], RepairWeight::Downtime);
+    let mut sim = sim(&[("a", 1, 2, 1)], &[(0, 4)], RepairObjective::Downtime);
     let row = serving(&sim, "a").remove(0);
     sim.inject(&row.members[1], Fault::Pause(100));
     let (mut ended, mut freed) = (None, None);
@@ -419,7 +430,7 @@
 /// in whatever order they arrive.
 #[gtest]
 fn binding_and_ending_raise_the_fence() {
-    let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 6)], RepairWeight::Downtime);
+    let mut sim = sim(&[("a", 2, 2, 1)], &[(0, 6)], RepairObjective::Downtime);
     let mut fences: BTreeMap<SmolStr, u64> = BTreeMap::new();
     let mut raised = 0;
     for round in 0..3 {
--- a/crates/peer/examples/capacity/policy.rs
+++ b/crates/peer/examples/capacity/policy.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::{HostEntry, Urgency};
-use eelgrassmill_config::{CURRENT_KEY, Config, Decision, RepairWeight, Submit, decide_submit};
+use eelgrassmill_config::{CURRENT_KEY, Config, Decision, RepairObjective, Submit, decide_submit};
 use eelgrassmill_group::{
     Evidence, EvidenceStore, FleetView, GroupWatch, HostRow, RepairPolicy, Verdict, plan, watchers,
 };
@@ -204,7 +204,7 @@
 /// A calm region, and one in which a host of each tenth group is silent.
 fn planning(inputs: &mut Inputs) {
     let now = Instant::now();
-    let policy = RepairPolicy::new(RepairWeight::Downtime);
+    let policy = RepairPolicy::new(RepairObjective::Downtime);
     let (mut core, mut broken, mut state) = (Vec::new(), Vec::new(), Vec::new());
     for groups in GROUPS {
         let n = groups as f64;
