--- a/crates/config/src/canonical.rs
+++ b/crates/config/src/canonical.rs
@@ -7,7 +7,9 @@
 use sha2::{Digest, Sha256};
 use smol_str::SmolStr;
 
-use crate::model::{Config, NodeRule, RepairObjective, Service, ServiceKind, TargetRule, Tenant};
+use crate::model::{
+    Config, NodeOptions, RepairObjective, Service, ServiceKind, TargetOptions, Tenant,
+};
 use crate::units::format_duration;
 
 /// Digits of a token's SHA-256 that are shown in a difference.
@@ -173,11 +175,11 @@
     for (name, service) in &config.services {
         all.insert(SectionName::Service(name.clone()), service_entries(service));
     }
-    for (name, rule) in &config.targets {
-        all.insert(SectionName::Target(name.clone()), target_entries(rule));
+    for (name, options) in &config.targets {
+        all.insert(SectionName::Target(name.clone()), target_entries(options));
     }
-    for (name, rule) in &config.nodes {
-        all.insert(SectionName::Node(name.clone()), node_entries(rule));
+    for (name, options) in &config.nodes {
+        all.insert(SectionName::Node(name.clone()), node_entries(options));
     }
     all
 }
@@ -198,15 +200,15 @@
     ]
 }
 
-fn target_entries(rule: &TargetRule) -> Entries {
+fn target_entries(options: &TargetOptions) -> Entries {
     vec![
-        ("checks_orders", yes_no(rule.checks_orders)),
-        ("drain", yes_no(rule.drain)),
+        ("checks_orders", yes_no(options.checks_orders)),
+        ("drain", yes_no(options.drain)),
     ]
 }
 
-fn node_entries(rule: &NodeRule) -> Entries {
-    vec![("drain", yes_no(rule.drain))]
+fn node_entries(options: &NodeOptions) -> Entries {
+    vec![("drain", yes_no(options.drain))]
 }
 
 fn service_entries(service: &Service) -> Entries {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -27,7 +27,7 @@
 pub use crate::document::{Entry, MAX_TEXT, Section, read_sections};
 pub use crate::keys::{Key, Presence, SectionKeys, ValueType, defaulted, optional, required};
 pub use crate::model::{
-    Config, ModelService, NodeRule, RepairObjective, Service, ServiceKind, TargetRule, Tenant,
+    Config, ModelService, NodeOptions, RepairObjective, Service, ServiceKind, TargetOptions, Tenant,
 };
 pub use crate::section_reader::SectionReader;
 pub use crate::sections::Sections;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -29,9 +29,9 @@
         /// Tenants by name.
         pub tenants: BTreeMap<TenantId, Tenant>,
         /// What is said of single targets, by host.
-        pub targets: BTreeMap<HostId, TargetRule>,
+        pub targets: BTreeMap<HostId, TargetOptions>,
         /// What is said of single nodes, by node.
-        pub nodes: BTreeMap<NodeId, NodeRule>,
+        pub nodes: BTreeMap<NodeId, NodeOptions>,
     }
 
     /// One service.
@@ -103,7 +103,7 @@
     }
 
     /// What is said of one target.
-    pub struct TargetRule {
+    pub struct TargetOptions {
         /// Whether the target refuses an order with an old fencing number.
         pub checks_orders: bool,
         /// Whether it is to be emptied: it gets nothing new and its group moves off it.
@@ -111,7 +111,7 @@
     }
 
     /// What is said of one node.
-    pub struct NodeRule {
+    pub struct NodeOptions {
         /// Whether callers are to be sent elsewhere.
         pub drain: bool,
     }
@@ -137,12 +137,12 @@
     }
 
     /// Whether the text asks to empty target `host`.
-    pub fn drains_target(&self, host: &str) -> bool {
+    pub fn is_target_draining(&self, host: &str) -> bool {
         self.targets.get(host).is_some_and(|t| t.drain)
     }
 
     /// Whether the text asks to send callers away from `node`.
-    pub fn drains_node(&self, node: &str) -> bool {
+    pub fn is_node_draining(&self, node: &str) -> bool {
         self.nodes.get(node).is_some_and(|n| n.drain)
     }
 }
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -7,7 +7,9 @@
 use crate::diagnostics::{ConfigErrors, Diagnostics};
 use crate::document::{Section, read_sections};
 use crate::model::ModelService;
-use crate::model::{Config, NodeRule, RepairObjective, Service, ServiceKind, TargetRule, Tenant};
+use crate::model::{
+    Config, NodeOptions, RepairObjective, Service, ServiceKind, TargetOptions, Tenant,
+};
 use crate::section_reader::SectionReader;
 use crate::units::is_name;
 use crate::{references, text_keys};
@@ -117,19 +119,19 @@
 
     fn take_target(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
         let reader = SectionReader::new(section, &[text_keys::TARGET], diagnostics);
-        let rule = TargetRule {
+        let options = TargetOptions {
             checks_orders: reader.boolean("checks_orders", diagnostics),
             drain: reader.boolean("drain", diagnostics),
         };
-        self.config.targets.insert(name, rule);
+        self.config.targets.insert(name, options);
     }
 
     fn take_node(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
         let reader = SectionReader::new(section, &[text_keys::NODE], diagnostics);
-        let rule = NodeRule {
+        let options = NodeOptions {
             drain: reader.boolean("drain", diagnostics),
         };
-        self.config.nodes.insert(name, rule);
+        self.config.nodes.insert(name, options);
     }
 
     fn take_service(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use eelgrassmill_config::{
-    Config, ModelService, NodeRule, RepairObjective, Service, ServiceKind, TargetRule, Tenant,
+    Config, ModelService, NodeOptions, RepairObjective, Service, ServiceKind, TargetOptions, Tenant,
 };
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
@@ -140,7 +140,7 @@
                 .map(|(h, (checks_orders, drain))| {
                     (
                         h.into(),
-                        TargetRule {
+                        TargetOptions {
                             checks_orders,
                             drain,
                         },
@@ -149,7 +149,7 @@
                 .collect(),
             nodes: nodes
                 .into_iter()
-                .map(|(n, drain)| (n.into(), NodeRule { drain }))
+                .map(|(n, drain)| (n.into(), NodeOptions { drain }))
                 .collect(),
         },
     )
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parse.rs
@@ -25,7 +25,7 @@
     expect_false!(config.services["status"].repeatable);
     expect_true!(config.checks_orders("engine-1"));
     expect_false!(config.checks_orders("engine-2"));
-    expect_true!(config.drains_node("node-a"));
+    expect_true!(config.is_node_draining("node-a"));
 }
 
 #[gtest]
--- a/crates/group/examples/repair/fleets.rs
+++ b/crates/group/examples/repair/fleets.rs
@@ -5,7 +5,7 @@
 
 use eelgrassmill_base::ServiceName;
 use eelgrassmill_config::{
-    Config, ModelService, RepairObjective, Service, ServiceKind, TargetRule,
+    Config, ModelService, RepairObjective, Service, ServiceKind, TargetOptions,
 };
 use eelgrassmill_group::RepairPolicy;
 use smol_str::{SmolStr, format_smolstr};
@@ -46,7 +46,7 @@
         let checks_orders = true;
         (
             host.into(),
-            TargetRule {
+            TargetOptions {
                 checks_orders,
                 drain: false,
             },
--- a/crates/node/src/backend/show.rs
+++ b/crates/node/src/backend/show.rs
@@ -93,7 +93,7 @@
             group: group.map(|row| row.group.clone()),
             epoch: group.map_or(0, |row| row.epoch),
             fence: answered.map_or(0, |a| a.report.fence),
-            drain: cfg.drains_target(&entry.id),
+            drain: cfg.is_target_draining(&entry.id),
         }
     });
     hosts.collect()
@@ -113,7 +113,7 @@
             failure_domain: entry.failure_domain.clone(),
             callers: entry.caller.to_smolstr(),
             alive: entry.is_alive(Instant::now()),
-            draining: entry.leaving || cfg.drains_node(node),
+            draining: entry.leaving || cfg.is_node_draining(node),
             lease: fleet.nodes.contains_key(node),
             planner: planner.as_ref() == Some(node),
         });
@@ -145,7 +145,7 @@
         failure_domain: ident.failure_domain.clone(),
         callers: ident.caller.to_smolstr(),
         alive: true,
-        draining: core.is_leaving() || cfg.drains_node(&ident.node),
+        draining: core.is_leaving() || cfg.is_node_draining(&ident.node),
         lease: core.holds_lease(),
         planner: planner == Some(&ident.node),
     }
--- a/crates/node/src/entry/addresses.rs
+++ b/crates/node/src/entry/addresses.rs
@@ -119,7 +119,7 @@
         failure_domain: entry.failure_domain.clone(),
         same_region: entry.region == ident.region,
         load: entry.band,
-        leaving: entry.leaving || cfg.drains_node(node),
+        leaving: entry.leaving || cfg.is_node_draining(node),
         alive: entry.is_alive(now),
     }));
     entries
--- a/crates/node/src/loops/planner.rs
+++ b/crates/node/src/loops/planner.rs
@@ -303,7 +303,7 @@
         let fleet = lock(&self.core.fleet);
         let mut entries: Vec<HostEntry> = fleet.hosts.values().cloned().collect();
         for entry in &mut entries {
-            if view.config.drains_target(&entry.id) {
+            if view.config.is_target_draining(&entry.id) {
                 entry.state = HostState::Leaving;
             }
         }
--- a/crates/node/src/loops/pulse.rs
+++ b/crates/node/src/loops/pulse.rs
@@ -140,7 +140,7 @@
         now: Instant,
     ) -> Option<Candidate> {
         let serving = lock(&self.core.whole).serving(&row.group, now).ok()?;
-        let leaving = |host: &HostId| fleet.is_leaving(host) || cfg.drains_target(host);
+        let leaving = |host: &HostId| fleet.is_leaving(host) || cfg.is_target_draining(host);
         Some(Candidate {
             group: row.group.clone(),
             epoch: serving.epoch,
@@ -170,7 +170,7 @@
             distance: self.core.ident.hops(fleet.hosts.get(host)),
             slots: slots.total(),
             quota: fallback_share(slots, entries),
-            leaving: fleet.is_leaving(host) || cfg.drains_target(host),
+            leaving: fleet.is_leaving(host) || cfg.is_target_draining(host),
         })
     }
 
--- a/crates/node/src/state/core.rs
+++ b/crates/node/src/state/core.rs
@@ -138,7 +138,7 @@
 
     /// Whether this node takes no new work, by order to stop or by the text.
     pub(crate) fn is_leaving(&self) -> bool {
-        self.shutdown.get().is_some() || self.config.config().drains_node(&self.ident.node)
+        self.shutdown.get().is_some() || self.config.config().is_node_draining(&self.ident.node)
     }
 
     /// Says that this node was told to stop.
