--- a/crates/config/src/accept.rs
+++ b/crates/config/src/accept.rs
@@ -25,18 +25,18 @@
 /// Prefix of the rows that hold earlier and current versions.
 pub const LOG_PREFIX: &str = "config/log/";
 /// Versions kept in the log. Each takes the row of the one that is this many older.
-pub const LOG_KEPT: u64 = 500;
+pub const MAX_LOG_VERSIONS: u64 = 500;
 /// Earlier submissions that the current row remembers, the latest last.
-pub const RECENT_KEPT: usize = 128;
+pub const MAX_RECENT_SUBMISSIONS: usize = 128;
 
 /// Key of the row that holds version `v`, as long as it is kept: see [`LogRow::version`].
 pub fn log_key(v: ConfigVersion) -> SmolStr {
-    format!("{LOG_PREFIX}{:03}", v % LOG_KEPT).into()
+    format!("{LOG_PREFIX}{:03}", v % MAX_LOG_VERSIONS).into()
 }
 
 /// Version that the log row for `v` has before `v` is written to it.
 fn log_row_version(v: ConfigVersion) -> RowVersion {
-    (v - 1) / LOG_KEPT
+    (v - 1) / MAX_LOG_VERSIONS
 }
 
 value! { wire
@@ -52,7 +52,7 @@
         pub author: SmolStr,
         /// The submission that it came from.
         pub submit_id: SubmitId,
-        /// The last submissions, this one included; at most [`RECENT_KEPT`].
+        /// The last submissions, this one included; at most [`MAX_RECENT_SUBMISSIONS`].
         pub recent: Vec<Accepted>,
     }
 
@@ -208,7 +208,7 @@
     };
     let mut recent = current.map_or_else(Vec::new, |(_, row)| row.recent.clone());
     recent.push(accepted);
-    let surplus = recent.len().saturating_sub(RECENT_KEPT);
+    let surplus = recent.len().saturating_sub(MAX_RECENT_SUBMISSIONS);
     recent.drain(..surplus);
     let row = CurrentRow {
         version,
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -6,7 +6,7 @@
 use crate::diagnostics::Diagnostics;
 
 /// Longest text that is read, in bytes; a table row holds it whole.
-pub const MAX_TEXT: usize = 256 * 1024;
+pub const MAX_TEXT_BYTES: usize = 256 * 1024;
 
 /// One `[...]` section.
 #[derive(Debug)]
@@ -47,11 +47,11 @@
 /// indented comment for a key, and it tells no lines. So the lines are checked
 /// one by one first, and only what both agree on is taken.
 pub fn read_sections(text: &str, diagnostics: &mut Diagnostics) -> Vec<Section> {
-    if text.len() > MAX_TEXT {
+    if text.len() > MAX_TEXT_BYTES {
         diagnostics.add(
             1,
             format!(
-                "the text has {} bytes, write at most {MAX_TEXT}",
+                "the text has {} bytes, write at most {MAX_TEXT_BYTES}",
                 text.len()
             ),
         );
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -18,18 +18,19 @@
 mod units;
 
 pub use crate::accept::{
-    Acceptance, Accepted, CURRENT_KEY, Conflict, CurrentRow, Decision, HEAD_KEY, HeadRow, LOG_KEPT,
-    LOG_PREFIX, LogRow, RECENT_KEPT, RowWrite, Submit, decide_submit, log_key,
+    Acceptance, Accepted, CURRENT_KEY, Conflict, CurrentRow, Decision, HEAD_KEY, HeadRow,
+    LOG_PREFIX, LogRow, MAX_LOG_VERSIONS, MAX_RECENT_SUBMISSIONS, RowWrite, Submit, decide_submit,
+    log_key,
 };
 pub use crate::applied::{AppliedConfig, ApplyError, ApplyOutcome};
 pub use crate::canonical::{Change, SectionName, canonical, checksum, diff};
 pub use crate::diagnostics::{ConfigError, ConfigErrors, Diagnostics};
-pub use crate::document::{Entry, MAX_TEXT, Section, read_sections};
+pub use crate::document::{Entry, MAX_TEXT_BYTES, Section, read_sections};
 pub use crate::keys::{Key, Presence, SectionKeys, ValueType, defaulted, optional, required};
 pub use crate::model::{
     Config, ModelService, NodeOptions, RepairObjective, Service, ServiceKind, TargetOptions, Tenant,
 };
 pub use crate::section_reader::SectionReader;
 pub use crate::sections::Sections;
-pub use crate::text_keys::TEXT_SECTIONS;
-pub use crate::units::{MAX_NAME, format_duration, is_name, parse_duration};
+pub use crate::text_keys::CONFIG_SECTIONS;
+pub use crate::units::{MAX_NAME_BYTES, format_duration, is_name, parse_duration};
--- a/crates/config/src/text_keys.rs
+++ b/crates/config/src/text_keys.rs
@@ -164,7 +164,7 @@
 ];
 
 /// Every section of the operators' text with its keys, in the order of the reference page.
-pub const TEXT_SECTIONS: &[SectionKeys] = &[
+pub const CONFIG_SECTIONS: &[SectionKeys] = &[
     SectionKeys {
         section: "[fleet]",
         keys: FLEET,
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 /// Longest name of a service, tenant, host, model or version, in bytes.
-pub const MAX_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 
 const UNITS: [(&str, u64); 4] = [("ms", 1), ("s", 1_000), ("m", 60_000), ("h", 3_600_000)];
 
@@ -35,5 +35,5 @@
     let mut bytes = name.bytes();
     let first = bytes.next().is_some_and(|b| b.is_ascii_alphanumeric());
     let rest = bytes.all(|b| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-'));
-    first && rest && name.len() <= MAX_NAME
+    first && rest && name.len() <= MAX_NAME_BYTES
 }
--- a/crates/config/tests/accept.rs
+++ b/crates/config/tests/accept.rs
@@ -6,7 +6,7 @@
 use common::{TEXT, runner};
 use eelgrassmill_config::{
     AppliedConfig, ApplyError, ApplyOutcome, CURRENT_KEY, CurrentRow, Decision, HEAD_KEY, HeadRow,
-    LOG_KEPT, LogRow, RECENT_KEPT, Submit, checksum, decide_submit, log_key,
+    LogRow, MAX_LOG_VERSIONS, MAX_RECENT_SUBMISSIONS, Submit, checksum, decide_submit, log_key,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -55,7 +55,7 @@
 #[gtest]
 fn acceptance_goes_on_and_the_log_stays_bounded() {
     let mut rows = Rows::default();
-    let last = 2 * LOG_KEPT + 3;
+    let last = 2 * MAX_LOG_VERSIONS + 3;
     for v in 1..=last {
         let current: Option<(u64, CurrentRow)> = rows.read(CURRENT_KEY);
         let current = current.as_ref().map(|(version, row)| (*version, row));
@@ -67,10 +67,10 @@
         // The same transaction again, as after a lost answer, has no effect.
         assert!(!rows.commit(&a.writes), "version {v} again");
     }
-    expect_that!(rows.len(), eq(LOG_KEPT as usize + 2));
+    expect_that!(rows.len(), eq(MAX_LOG_VERSIONS as usize + 2));
     let head: HeadRow = rows.read(HEAD_KEY).unwrap().1;
     expect_that!((head.version, head.checksum), eq(&(last, checksum(TEXT))));
-    let oldest = last - LOG_KEPT + 1;
+    let oldest = last - MAX_LOG_VERSIONS + 1;
     let kept: LogRow = rows.read(&log_key(oldest)).unwrap().1;
     expect_that!(kept.version, eq(oldest));
     let reused: LogRow = rows.read(&log_key(oldest - 1)).unwrap().1;
@@ -127,10 +127,10 @@
 #[gtest]
 fn remembered_submissions_are_bounded() {
     let mut row = accepted(None, &submit("s0", 0, "ada", TEXT));
-    for i in 1..(RECENT_KEPT as u64 + 10) {
+    for i in 1..(MAX_RECENT_SUBMISSIONS as u64 + 10) {
         row = accepted(Some((i, &row)), &submit(&format!("s{i}"), i, "ada", TEXT));
     }
-    expect_that!(row.recent.len(), eq(RECENT_KEPT));
+    expect_that!(row.recent.len(), eq(MAX_RECENT_SUBMISSIONS));
     // Out of memory and judged by its base alone: still not accepted twice.
     let again = decide_submit(Some((1, &row)), None, &submit("s0", 0, "ada", TEXT));
     expect_that!(again, matches_pattern!(Decision::Conflict(anything())));
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parse.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{TEXT, runner};
-use eelgrassmill_config::{Config, ConfigErrors, MAX_TEXT, ServiceKind};
+use eelgrassmill_config::{Config, ConfigErrors, MAX_TEXT_BYTES, ServiceKind};
 use googletest::prelude::*;
 use proptest::prelude::*;
 
@@ -120,7 +120,7 @@
         );
     }
     expect_that!(Config::parse(&chain, "f"), ok(anything()));
-    let huge = "#".repeat(MAX_TEXT + 1);
+    let huge = "#".repeat(MAX_TEXT_BYTES + 1);
     insta::assert_snapshot!(errors(&huge));
     let garbage = "garbage\n".repeat(10_000);
     let found = Config::parse(&garbage, "f").unwrap_err();
--- a/crates/core/tests/pages.rs
+++ b/crates/core/tests/pages.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use eelgrassmill_base::Urgency;
-use eelgrassmill_config::{Config, SectionKeys, TEXT_SECTIONS};
+use eelgrassmill_config::{CONFIG_SECTIONS, Config, SectionKeys};
 use eelgrassmill_node::{
     AdminRefusal, Metrics, RequestEnd, SETTINGS_SECTIONS, Settings, TableCall, TableResult,
     TokenHash,
@@ -51,7 +51,7 @@
     let mut page = page("docs/REFERENCE.md");
     for (head, sections) in [
         (SETTINGS_HEAD, SETTINGS_SECTIONS),
-        (TEXT_HEAD, TEXT_SECTIONS),
+        (TEXT_HEAD, CONFIG_SECTIONS),
     ] {
         let (start, end) = place(&page, head);
         if std::env::var_os(WRITE).is_some() {
--- a/crates/node/src/admin/server.rs
+++ b/crates/node/src/admin/server.rs
@@ -59,7 +59,7 @@
         AdminLimits {
             connections: 32,
             // A text and its JSON escapes.
-            max_body: 2 * eelgrassmill_config::MAX_TEXT,
+            max_body: 2 * eelgrassmill_config::MAX_TEXT_BYTES,
             header_time: Duration::from_secs(5),
             body_time: Duration::from_secs(10),
             call_time: Duration::from_secs(30),
