--- a/crates/config/src/keys.rs
+++ b/crates/config/src/keys.rs
@@ -33,7 +33,7 @@
         },
         /// One of these words.
         Choice(&'static [&'static str]),
-        /// A name, see [`crate::is_name`].
+        /// A name, see [`crate::is_valid_name`].
         Name,
         /// Names with commas between them.
         Names {
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -33,4 +33,4 @@
 pub use crate::section_reader::SectionReader;
 pub use crate::sections::Sections;
 pub use crate::text_keys::CONFIG_SECTIONS;
-pub use crate::units::{MAX_NAME_BYTES, format_duration, is_name, parse_duration};
+pub use crate::units::{MAX_NAME_BYTES, format_duration, is_valid_name, parse_duration};
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -11,7 +11,7 @@
     Config, NodeOptions, RepairObjective, Service, ServiceKind, TargetOptions, Tenant,
 };
 use crate::section_reader::SectionReader;
-use crate::units::is_name;
+use crate::units::is_valid_name;
 use crate::{references, text_keys};
 
 /// Most sections of one kind; bounds what a text can make every node hold.
@@ -76,7 +76,7 @@
         let (kind, name) = section.name.split_once(' ').unwrap_or((&section.name, ""));
         match (kind, name) {
             ("fleet", "") => self.take_fleet(section, diagnostics),
-            ("tenant" | "service" | "target" | "node", name) if !is_name(name) => {
+            ("tenant" | "service" | "target" | "node", name) if !is_valid_name(name) => {
                 let what = format!(
                     "[{}] has no usable name, write [{kind} NAME] with letters, digits, `.`, `_` and `-`",
                     section.name
--- a/crates/config/src/section_reader.rs
+++ b/crates/config/src/section_reader.rs
@@ -8,7 +8,7 @@
 use crate::diagnostics::Diagnostics;
 use crate::document::{Entry, Section};
 use crate::keys::{Key, Presence, ValueType};
-use crate::units::{is_name, parse_duration};
+use crate::units::{is_valid_name, parse_duration};
 
 /// One section under its keys.
 ///
@@ -190,7 +190,7 @@
     /// A name; empty when wrong.
     pub fn name(&self, name: &str, diagnostics: &mut Diagnostics) -> SmolStr {
         let found = self.value(name, diagnostics, |text, _| {
-            is_name(text).then(|| text.into())
+            is_valid_name(text).then(|| text.into())
         });
         found.unwrap_or_default()
     }
@@ -202,7 +202,7 @@
                 return None;
             };
             let names = split_list(text);
-            let all = names.iter().all(|n| is_name(n)) && names.len() <= *max;
+            let all = names.iter().all(|n| is_valid_name(n)) && names.len() <= *max;
             all.then(|| names.iter().map(SmolStr::new).collect::<Vec<_>>())
         });
         let names = found.unwrap_or_default();
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -31,7 +31,7 @@
 ///
 /// Names end up in paths, table keys and header values; a slash or a space in
 /// one would let it be taken for another.
-pub fn is_name(name: &str) -> bool {
+pub fn is_valid_name(name: &str) -> bool {
     let mut bytes = name.bytes();
     let first = bytes.next().is_some_and(|b| b.is_ascii_alphanumeric());
     let rest = bytes.all(|b| b.is_ascii_alphanumeric() || matches!(b, b'.' | b'_' | b'-'));
--- a/crates/core/src/commands/addresses.rs
+++ b/crates/core/src/commands/addresses.rs
@@ -25,7 +25,7 @@
     let service: String = args.value_from_str("--service")?;
     let token = token(&mut args, TOKEN_VARIABLE)?;
     finish(args)?;
-    if !eelgrassmill_config::is_name(&service) {
+    if !eelgrassmill_config::is_valid_name(&service) {
         return Err(CliError::Usage(format!("`{service}` is no service's name")));
     }
     let path = format!("/v1/addresses?service={service}");
--- a/crates/core/src/commands/config.rs
+++ b/crates/core/src/commands/config.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use eelgrassmill_config::{Change, Config, Submit, is_name, parse_duration};
+use eelgrassmill_config::{Change, Config, Submit, is_valid_name, parse_duration};
 use eelgrassmill_node::{ConfigStatus, ConfigVersionInfo, NodeConfig, SubmitReply};
 use pico_args::Arguments;
 
@@ -66,7 +66,7 @@
         .or_else(|| std::env::var("USER").ok())
         .ok_or_else(|| CliError::Usage("no author, write --author NAME".to_owned()))?;
     let id = id.unwrap_or_else(new_id);
-    if !is_name(&id) {
+    if !is_valid_name(&id) {
         return Err(CliError::Usage(format!(
             "`--id {id}` can't be, write a plain name"
         )));
--- a/crates/node/src/admin/handler.rs
+++ b/crates/node/src/admin/handler.rs
@@ -136,7 +136,7 @@
             "the body is no submission ({e}), send id, base, author and text"
         ))
     })?;
-    if !eelgrassmill_config::is_name(&submit.id) {
+    if !eelgrassmill_config::is_valid_name(&submit.id) {
         return Err(malformed(
             "`id` can't be, send letters, digits, `.`, `_` and `-`, at most 64",
         ));
