--- a/crates/config/src/accept.rs
+++ b/crates/config/src/accept.rs
@@ -53,7 +53,7 @@
         /// The submission that it came from.
         pub submit_id: SubmitId,
         /// The last submissions, this one included; at most [`MAX_RECENT_SUBMISSIONS`].
-        pub recent: Vec<Accepted>,
+        pub recent: Vec<AcceptedSubmission>,
     }
 
     /// What row `config/head` holds.
@@ -79,7 +79,7 @@
     }
 
     /// One accepted submission, without its text.
-    pub struct Accepted {
+    pub struct AcceptedSubmission {
         /// The version it became.
         pub version: ConfigVersion,
         /// Who submitted it.
@@ -105,7 +105,7 @@
         /// The version accepted now.
         pub version: ConfigVersion,
         /// The submissions accepted since the base, as far as they are remembered.
-        pub by: Vec<Accepted>,
+        pub by: Vec<AcceptedSubmission>,
         /// What they changed; `None` when the base version isn't at hand.
         pub changes: Option<Vec<Change>>,
     }
@@ -117,7 +117,7 @@
         /// Its key.
         pub key: SmolStr,
         /// The version it must have (0 for absent); `None` for any.
-        pub expect: Option<RowVersion>,
+        pub expected_version: Option<RowVersion>,
         /// Its value as JSON; `None` deletes it.
         pub value: Option<String>,
     }
@@ -201,7 +201,7 @@
 
 fn acceptance(current: Option<(RowVersion, &CurrentRow)>, submit: &Submit) -> Acceptance {
     let version = current.map_or(0, |(_, row)| row.version) + 1;
-    let accepted = Accepted {
+    let accepted = AcceptedSubmission {
         version,
         author: submit.author.clone(),
         submit_id: submit.id.clone(),
@@ -225,7 +225,7 @@
     let row_version = current.map_or(0, |(row_version, _)| row_version);
     let write = |key: SmolStr, expect, value| RowWrite {
         key,
-        expect: Some(expect),
+        expected_version: Some(expect),
         value: Some(value),
     };
     let writes = vec![
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -18,7 +18,7 @@
 mod units;
 
 pub use crate::accept::{
-    Acceptance, Accepted, CURRENT_KEY, Conflict, CurrentRow, Decision, HEAD_KEY, HeadRow,
+    Acceptance, AcceptedSubmission, CURRENT_KEY, Conflict, CurrentRow, Decision, HEAD_KEY, HeadRow,
     LOG_PREFIX, LogRow, MAX_LOG_VERSIONS, MAX_RECENT_SUBMISSIONS, RowWrite, Submit, decide_submit,
     log_key,
 };
--- a/crates/config/tests/accept.rs
+++ b/crates/config/tests/accept.rs
@@ -46,7 +46,7 @@
     expect_that!(a.version, eq(1));
     let keys: Vec<&str> = a.writes.iter().map(|w| w.key.as_str()).collect();
     expect_that!(keys, eq(&vec![CURRENT_KEY, HEAD_KEY, "config/log/001"]));
-    expect_true!(a.writes.iter().all(|w| w.expect == Some(0)));
+    expect_true!(a.writes.iter().all(|w| w.expected_version == Some(0)));
 }
 
 /// Versions come and go for months. Unless rows are used again, the log fills
@@ -84,8 +84,8 @@
     let Decision::Accept(a) = decision else {
         panic!("{decision:?}")
     };
-    expect_that!(a.writes[0].expect, some(eq(77)));
-    expect_that!(a.writes[1].expect, some(eq(77)));
+    expect_that!(a.writes[0].expected_version, some(eq(77)));
+    expect_that!(a.writes[1].expected_version, some(eq(77)));
 }
 
 /// Two operators change the text at the same moment. The one whose transaction
--- a/crates/config/tests/common/rows.rs
+++ b/crates/config/tests/common/rows.rs
@@ -15,7 +15,7 @@
         let version = |key| self.0.get(key).map_or(0, |(v, _)| *v);
         if writes
             .iter()
-            .any(|w| w.expect.is_some_and(|e| e != version(&w.key)))
+            .any(|w| w.expected_version.is_some_and(|e| e != version(&w.key)))
         {
             return false;
         }
--- a/crates/node/src/backend/submit.rs
+++ b/crates/node/src/backend/submit.rs
@@ -87,7 +87,7 @@
     let conditions = acceptance.writes.iter().filter_map(|w| {
         Some(Condition {
             key: w.key.clone(),
-            version: w.expect?,
+            version: w.expected_version?,
         })
     });
     let writes = acceptance.writes.iter().map(|w| Write {
--- a/crates/node/tests/admin.rs
+++ b/crates/node/tests/admin.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use eelgrassmill_config::{Accepted, Conflict, Submit};
+use eelgrassmill_config::{AcceptedSubmission, Conflict, Submit};
 use eelgrassmill_node::{
     AdminBackend, AdminLimits, AdminRefusal, AdminServer, BackendError, ConfigStatus,
     ConfigVersionInfo, GroupInfo, HostInfo, Metrics, NodeConfig, NodeInfo, Problem, SubmitReply,
@@ -28,7 +28,7 @@
             "late" => Ok(SubmitReply::Conflict {
                 conflict: Conflict {
                     version: 8,
-                    by: vec![Accepted {
+                    by: vec![AcceptedSubmission {
                         version: 8,
                         author: "bob".into(),
                         submit_id: "b-1".into(),
