--- a/crates/config/src/text_keys.rs
+++ b/crates/config/src/config_schema.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use crate::keys::{Key, SectionKeys, ValueType, defaulted, optional, required};
+use crate::schema::{Key, SectionKeys, ValueType, defaulted, optional, required};
 
 const YES_NO: ValueType = ValueType::Choice(&["yes", "no"]);
 const MAX_LIST: usize = 1_000;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -6,15 +6,15 @@
 mod accept;
 mod applied;
 mod canonical;
+mod config_schema;
 mod diagnostics;
 mod document;
-mod keys;
 mod model;
 mod parse;
 mod references;
+mod schema;
 mod section_reader;
 mod sections;
-mod text_keys;
 mod units;
 
 pub use crate::accept::{
@@ -24,13 +24,13 @@
 };
 pub use crate::applied::{AppliedConfig, ApplyError, ApplyOutcome};
 pub use crate::canonical::{Change, SectionName, canonical, checksum, diff};
+pub use crate::config_schema::CONFIG_SECTIONS;
 pub use crate::diagnostics::{ConfigError, ConfigErrors, Diagnostics};
 pub use crate::document::{Entry, MAX_TEXT_BYTES, Section, read_sections};
-pub use crate::keys::{Key, Presence, SectionKeys, ValueType, defaulted, optional, required};
 pub use crate::model::{
     Config, ModelService, NodeOptions, RepairObjective, Service, ServiceKind, TargetOptions, Tenant,
 };
+pub use crate::schema::{Key, Presence, SectionKeys, ValueType, defaulted, optional, required};
 pub use crate::section_reader::SectionReader;
 pub use crate::sections::Sections;
-pub use crate::text_keys::CONFIG_SECTIONS;
 pub use crate::units::{MAX_NAME_BYTES, format_duration, is_valid_name, parse_duration};
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -12,7 +12,7 @@
 };
 use crate::section_reader::SectionReader;
 use crate::units::is_valid_name;
-use crate::{references, text_keys};
+use crate::{config_schema, references};
 
 /// Most sections of one kind; bounds what a text can make every node hold.
 const MAX_SECTIONS: usize = 10_000;
@@ -95,7 +95,7 @@
     }
 
     fn take_fleet(&mut self, section: &Section, diagnostics: &mut Diagnostics) {
-        let reader = SectionReader::new(section, &[text_keys::FLEET], diagnostics);
+        let reader = SectionReader::new(section, &[config_schema::FLEET], diagnostics);
         self.config.repair = match reader.choice("repair", diagnostics) {
             "stranded" => RepairObjective::Stranded,
             _ => RepairObjective::Downtime,
@@ -103,7 +103,7 @@
     }
 
     fn take_tenant(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
-        let reader = SectionReader::new(section, &[text_keys::TENANT], diagnostics);
+        let reader = SectionReader::new(section, &[config_schema::TENANT], diagnostics);
         let tenant = Tenant {
             name: name.clone(),
             token_sha256: reader
@@ -118,7 +118,7 @@
     }
 
     fn take_target(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
-        let reader = SectionReader::new(section, &[text_keys::TARGET], diagnostics);
+        let reader = SectionReader::new(section, &[config_schema::TARGET], diagnostics);
         let options = TargetOptions {
             checks_orders: reader.boolean("checks_orders", diagnostics),
             drain: reader.boolean("drain", diagnostics),
@@ -127,7 +127,7 @@
     }
 
     fn take_node(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
-        let reader = SectionReader::new(section, &[text_keys::NODE], diagnostics);
+        let reader = SectionReader::new(section, &[config_schema::NODE], diagnostics);
         let options = NodeOptions {
             drain: reader.boolean("drain", diagnostics),
         };
@@ -135,7 +135,11 @@
     }
 
     fn take_service(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
-        let Some(kind_entry) = section.entries.iter().find(|e| e.key == text_keys::KIND) else {
+        let Some(kind_entry) = section
+            .entries
+            .iter()
+            .find(|e| e.key == config_schema::KIND)
+        else {
             let what = format!(
                 "[{}] has no `kind`, write model, plain or adapter",
                 section.name
@@ -144,9 +148,9 @@
             return;
         };
         let kind_keys = match kind_entry.value.as_str() {
-            "model" => text_keys::MODEL,
-            "plain" => text_keys::PLAIN,
-            "adapter" => text_keys::ADAPTER,
+            "model" => config_schema::MODEL,
+            "plain" => config_schema::PLAIN,
+            "adapter" => config_schema::ADAPTER,
             other => {
                 let shown: String = other.chars().take(80).collect();
                 let what = format!("`kind = {shown}` can't be, write model, plain or adapter");
@@ -154,7 +158,7 @@
                 return;
             }
         };
-        let reader = SectionReader::new(section, &[text_keys::SERVICE, kind_keys], diagnostics);
+        let reader = SectionReader::new(section, &[config_schema::SERVICE, kind_keys], diagnostics);
         let kind = match kind_entry.value.as_str() {
             "model" => ServiceKind::Model(read_model(&reader, diagnostics)),
             "plain" => read_plain(&reader, diagnostics),
--- a/crates/config/src/keys.rs
+++ b/crates/config/src/schema.rs
@@ -177,7 +177,7 @@
     }
 
     /// Rows of a table for the reference page: key, what to write, default, meaning.
-    pub fn reference(&self) -> String {
+    pub fn reference_table(&self) -> String {
         let mut page = format!("### `{}`\n\n", self.section);
         page.push_str("| key | what to write | when left out | meaning |\n");
         page.push_str("| --- | --- | --- | --- |\n");
--- a/crates/config/src/section_reader.rs
+++ b/crates/config/src/section_reader.rs
@@ -7,7 +7,7 @@
 
 use crate::diagnostics::Diagnostics;
 use crate::document::{Entry, Section};
-use crate::keys::{Key, Presence, ValueType};
+use crate::schema::{Key, Presence, ValueType};
 use crate::units::{is_valid_name, parse_duration};
 
 /// One section under its keys.
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -2,7 +2,7 @@
 
 use crate::diagnostics::Diagnostics;
 use crate::document::{Section, read_sections};
-use crate::keys::SectionKeys;
+use crate::schema::SectionKeys;
 
 /// The sections of a settings text, each once; one that is left out is empty.
 #[derive(Debug)]
--- a/crates/core/tests/pages.rs
+++ b/crates/core/tests/pages.rs
@@ -30,7 +30,7 @@
 fn tables(sections: &[SectionKeys]) -> String {
     sections
         .iter()
-        .map(SectionKeys::reference)
+        .map(SectionKeys::reference_table)
         .collect::<Vec<_>>()
         .join("\n")
 }
