--- a/crates/config/src/accept.rs
+++ b/crates/config/src/accept.rs
@@ -12,8 +12,8 @@
 use smol_str::SmolStr;
 
 use crate::canonical::{Change, checksum, diff};
+use crate::diagnostics::ConfigErrors;
 use crate::model::Config;
-use crate::problem::ConfigErrors;
 
 /// Key of the row that holds the accepted text.
 pub const CURRENT_KEY: &str = "config/current";
@@ -25,18 +25,18 @@
 /// Prefix of the rows that hold earlier and current versions.
 pub const LOG_PREFIX: &str = "config/log/";
 /// Versions kept in the log. Each takes the row of the one that is this many older.
-pub const LOG_KEPT: u64 = 500;
+pub const MAX_LOG_VERSIONS: u64 = 500;
 /// Earlier submissions that the current row remembers, the latest last.
-pub const RECENT_KEPT: usize = 128;
+pub const MAX_RECENT_SUBMISSIONS: usize = 128;
 
 /// Key of the row that holds version `v`, as long as it is kept: see [`LogRow::version`].
 pub fn log_key(v: ConfigVersion) -> SmolStr {
-    format!("{LOG_PREFIX}{:03}", v % LOG_KEPT).into()
+    format!("{LOG_PREFIX}{:03}", v % MAX_LOG_VERSIONS).into()
 }
 
 /// Version that the log row for `v` has before `v` is written to it.
 fn log_row_version(v: ConfigVersion) -> RowVersion {
-    (v - 1) / LOG_KEPT
+    (v - 1) / MAX_LOG_VERSIONS
 }
 
 value! { wire
@@ -52,8 +52,8 @@
         pub author: SmolStr,
         /// The submission that it came from.
         pub submit_id: SubmitId,
-        /// The last submissions, this one included; at most [`RECENT_KEPT`].
-        pub recent: Vec<Accepted>,
+        /// The last submissions, this one included; at most [`MAX_RECENT_SUBMISSIONS`].
+        pub recent: Vec<AcceptedSubmission>,
     }
 
     /// What row `config/head` holds.
@@ -79,7 +79,7 @@
     }
 
     /// One accepted submission, without its text.
-    pub struct Accepted {
+    pub struct AcceptedSubmission {
         /// The version it became.
         pub version: ConfigVersion,
         /// Who submitted it.
@@ -105,7 +105,7 @@
         /// The version accepted now.
         pub version: ConfigVersion,
         /// The submissions accepted since the base, as far as they are remembered.
-        pub by: Vec<Accepted>,
+        pub by: Vec<AcceptedSubmission>,
         /// What they changed; `None` when the base version isn't at hand.
         pub changes: Option<Vec<Change>>,
     }
@@ -117,7 +117,7 @@
         /// Its key.
         pub key: SmolStr,
         /// The version it must have (0 for absent); `None` for any.
-        pub expect: Option<RowVersion>,
+        pub expected_version: Option<RowVersion>,
         /// Its value as JSON; `None` deletes it.
         pub value: Option<String>,
     }
@@ -201,14 +201,14 @@
 
 fn acceptance(current: Option<(RowVersion, &CurrentRow)>, submit: &Submit) -> Acceptance {
     let version = current.map_or(0, |(_, row)| row.version) + 1;
-    let accepted = Accepted {
+    let accepted = AcceptedSubmission {
         version,
         author: submit.author.clone(),
         submit_id: submit.id.clone(),
     };
     let mut recent = current.map_or_else(Vec::new, |(_, row)| row.recent.clone());
     recent.push(accepted);
-    let surplus = recent.len().saturating_sub(RECENT_KEPT);
+    let surplus = recent.len().saturating_sub(MAX_RECENT_SUBMISSIONS);
     recent.drain(..surplus);
     let row = CurrentRow {
         version,
@@ -225,7 +225,7 @@
     let row_version = current.map_or(0, |(row_version, _)| row_version);
     let write = |key: SmolStr, expect, value| RowWrite {
         key,
-        expect: Some(expect),
+        expected_version: Some(expect),
         value: Some(value),
     };
     let writes = vec![
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,35 +1,36 @@
 //! The operators' text: parse, check, compare, canonical form and version.
 //!
 //! Pure: nothing here reads a file, a clock or the table. [`decide_submit`]
-//! says which rows a submission writes, [`Applied`] what a node has in force.
+//! says which rows a submission writes, [`AppliedConfig`] what a node has in force.
 
 mod accept;
 mod applied;
 mod canonical;
+mod config_schema;
+mod diagnostics;
 mod document;
-mod keys;
 mod model;
 mod parse;
-mod problem;
-mod reader;
 mod references;
+mod schema;
+mod section_reader;
 mod sections;
-mod text_keys;
 mod units;
 
 pub use crate::accept::{
-    Acceptance, Accepted, CURRENT_KEY, Conflict, CurrentRow, Decision, HEAD_KEY, HeadRow, LOG_KEPT,
-    LOG_PREFIX, LogRow, RECENT_KEPT, RowWrite, Submit, decide_submit, log_key,
+    Acceptance, AcceptedSubmission, CURRENT_KEY, Conflict, CurrentRow, Decision, HEAD_KEY, HeadRow,
+    LOG_PREFIX, LogRow, MAX_LOG_VERSIONS, MAX_RECENT_SUBMISSIONS, RowWrite, Submit, decide_submit,
+    log_key,
 };
-pub use crate::applied::{Applied, OfferError, Offered};
+pub use crate::applied::{AppliedConfig, ApplyError, ApplyOutcome};
 pub use crate::canonical::{Change, SectionName, canonical, checksum, diff};
-pub use crate::document::{Entry, MAX_TEXT, Section, read_sections};
-pub use crate::keys::{Absent, Key, SectionKeys, Shape, defaulted, optional, required};
+pub use crate::config_schema::CONFIG_SECTIONS;
+pub use crate::diagnostics::{ConfigError, ConfigErrors, Diagnostics};
+pub use crate::document::{Entry, MAX_TEXT_BYTES, Section, read_sections};
 pub use crate::model::{
-    Config, ModelService, NodeRule, RepairWeight, Service, ServiceKind, TargetRule, Tenant,
+    Config, ModelService, NodeOptions, RepairObjective, Service, ServiceKind, TargetOptions, Tenant,
 };
-pub use crate::problem::{ConfigError, ConfigErrors, Problems};
-pub use crate::reader::Reader;
+pub use crate::schema::{Key, Presence, SectionKeys, ValueType, defaulted, optional, required};
+pub use crate::section_reader::SectionReader;
 pub use crate::sections::Sections;
-pub use crate::text_keys::TEXT_SECTIONS;
-pub use crate::units::{MAX_NAME, format_duration, is_name, parse_duration};
+pub use crate::units::{MAX_NAME_BYTES, format_duration, is_valid_name, parse_duration};
--- a/crates/config/src/keys.rs
+++ b/crates/config/src/schema.rs
@@ -11,7 +11,7 @@
 
 value! {
     /// What a value must look like.
-    pub enum Shape {
+    pub enum ValueType {
         /// A whole number from `min` to `max`.
         Number {
             /// Lowest.
@@ -33,7 +33,7 @@
         },
         /// One of these words.
         Choice(&'static [&'static str]),
-        /// A name, see [`crate::is_name`].
+        /// A name, see [`crate::is_valid_name`].
         Name,
         /// Names with commas between them.
         Names {
@@ -54,13 +54,13 @@
     }
 
     /// What happens when a key is left out.
-    pub enum Absent {
+    pub enum Presence {
         /// It can't be left out.
         Required,
         /// This value counts.
         Default(&'static str),
         /// Another rule counts, said in words.
-        Rule(&'static str),
+        Derived(&'static str),
     }
 
     /// One key.
@@ -68,11 +68,11 @@
         /// Its name.
         pub name: &'static str,
         /// What its value must look like.
-        pub shape: Shape,
+        pub value_type: ValueType,
         /// What happens when it is left out.
-        pub absent: Absent,
+        pub presence: Presence,
         /// What it does, in one line.
-        pub meaning: &'static str,
+        pub description: &'static str,
     }
 
     /// The keys of one kind of section.
@@ -85,87 +85,87 @@
 }
 
 /// A required key.
-pub const fn required(name: &'static str, shape: Shape, meaning: &'static str) -> Key {
+pub const fn required(name: &'static str, value_type: ValueType, description: &'static str) -> Key {
     Key {
         name,
-        shape,
-        absent: Absent::Required,
-        meaning,
+        value_type,
+        presence: Presence::Required,
+        description,
     }
 }
 
 /// A key with a default value.
 pub const fn defaulted(
     name: &'static str,
-    shape: Shape,
+    value_type: ValueType,
     value: &'static str,
-    meaning: &'static str,
+    description: &'static str,
 ) -> Key {
     Key {
         name,
-        shape,
-        absent: Absent::Default(value),
-        meaning,
+        value_type,
+        presence: Presence::Default(value),
+        description,
     }
 }
 
 /// A key whose absence has a meaning of its own.
 pub const fn optional(
     name: &'static str,
-    shape: Shape,
-    rule: &'static str,
-    meaning: &'static str,
+    value_type: ValueType,
+    source: &'static str,
+    description: &'static str,
 ) -> Key {
     Key {
         name,
-        shape,
-        absent: Absent::Rule(rule),
-        meaning,
+        value_type,
+        presence: Presence::Derived(source),
+        description,
     }
 }
 
-impl Shape {
+impl ValueType {
     /// A number's shape.
-    pub const fn number(min: u64, max: u64) -> Shape {
-        Shape::Number { min, max }
+    pub const fn number(min: u64, max: u64) -> ValueType {
+        ValueType::Number { min, max }
     }
 
     /// A duration's shape.
-    pub const fn duration(min: Duration, max: Duration) -> Shape {
-        Shape::Duration { min, max }
+    pub const fn duration(min: Duration, max: Duration) -> ValueType {
+        ValueType::Duration { min, max }
     }
 
     /// What to write, for errors and for the reference page.
     pub fn describe(&self) -> String {
         match self {
-            Shape::Number { min, max } => format!("a whole number from {min} to {max}"),
-            Shape::Decimal { max } => format!("a number like 0.2 from 0 to {max}"),
-            Shape::Duration { min, max } => format!(
+            ValueType::Number { min, max } => format!("a whole number from {min} to {max}"),
+            ValueType::Decimal { max } => format!("a number like 0.2 from 0 to {max}"),
+            ValueType::Duration { min, max } => format!(
                 "a duration like 250ms, 10s, 10m or 2h, from {} to {}",
                 format_duration(*min),
                 format_duration(*max)
             ),
-            Shape::Choice(words) => words.join(" or "),
-            Shape::Name => "a name of letters, digits, `.`, `_` and `-`, at most 64".to_owned(),
-            Shape::Names { max } => format!("names with commas between them, at most {max}"),
-            Shape::Address => "IP:PORT with a numeric address".to_owned(),
-            Shape::Addresses { max } => {
+            ValueType::Choice(words) => words.join(" or "),
+            ValueType::Name => "a name of letters, digits, `.`, `_` and `-`, at most 64".to_owned(),
+            ValueType::Names { max } => format!("names with commas between them, at most {max}"),
+            ValueType::Address => "IP:PORT with a numeric address".to_owned(),
+            ValueType::Addresses { max } => {
                 format!("IP:PORTs with commas between them, at most {max}")
             }
-            Shape::Sha256 => "a SHA-256 as 64 hexadecimal digits".to_owned(),
-            Shape::Path => "the path of a file".to_owned(),
+            ValueType::Sha256 => "a SHA-256 as 64 hexadecimal digits".to_owned(),
+            ValueType::Path => "the path of a file".to_owned(),
         }
     }
 }
 
-impl Absent {
+impl Presence {
     /// As it stands on the reference page.
     pub fn describe(&self) -> &'static str {
         match self {
-            Absent::Required => "required",
-            Absent::Default("") => "none",
-            Absent::Default(value) => value,
-            Absent::Rule(rule) => rule,
+            Presence::Required => "required",
+            Presence::Default("") => "none",
+            Presence::Default(value) => value,
+            Presence::Derived(source) => source,
         }
     }
 }
@@ -177,7 +177,7 @@
     }
 
     /// Rows of a table for the reference page: key, what to write, default, meaning.
-    pub fn reference(&self) -> String {
+    pub fn reference_table(&self) -> String {
         let mut page = format!("### `{}`\n\n", self.section);
         page.push_str("| key | what to write | when left out | meaning |\n");
         page.push_str("| --- | --- | --- | --- |\n");
@@ -185,9 +185,9 @@
             let line = format!(
                 "| `{}` | {} | {} | {} |\n",
                 key.name,
-                key.shape.describe(),
-                key.absent.describe(),
-                key.meaning
+                key.value_type.describe(),
+                key.presence.describe(),
+                key.description
             );
             page.push_str(&line);
         }
--- a/crates/config/tests/accept.rs
+++ b/crates/config/tests/accept.rs
@@ -5,8 +5,8 @@
 use common::rows::Rows;
 use common::{TEXT, runner};
 use eelgrassmill_config::{
-    Applied, CURRENT_KEY, CurrentRow, Decision, HEAD_KEY, HeadRow, LOG_KEPT, LogRow, OfferError,
-    Offered, RECENT_KEPT, Submit, checksum, decide_submit, log_key,
+    AppliedConfig, ApplyError, ApplyOutcome, CURRENT_KEY, CurrentRow, Decision, HEAD_KEY, HeadRow,
+    LogRow, MAX_LOG_VERSIONS, MAX_RECENT_SUBMISSIONS, Submit, checksum, decide_submit, log_key,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -46,7 +46,7 @@
     expect_that!(a.version, eq(1));
     let keys: Vec<&str> = a.writes.iter().map(|w| w.key.as_str()).collect();
     expect_that!(keys, eq(&vec![CURRENT_KEY, HEAD_KEY, "config/log/001"]));
-    expect_true!(a.writes.iter().all(|w| w.expect == Some(0)));
+    expect_true!(a.writes.iter().all(|w| w.expected_version == Some(0)));
 }
 
 /// Versions come and go for months. Unless rows are used again, the log fills
@@ -55,7 +55,7 @@
 #[gtest]
 fn acceptance_goes_on_and_the_log_stays_bounded() {
     let mut rows = Rows::default();
-    let last = 2 * LOG_KEPT + 3;
+    let last = 2 * MAX_LOG_VERSIONS + 3;
     for v in 1..=last {
         let current: Option<(u64, CurrentRow)> = rows.read(CURRENT_KEY);
         let current = current.as_ref().map(|(version, row)| (*version, row));
@@ -67,10 +67,10 @@
         // The same transaction again, as after a lost answer, has no effect.
         assert!(!rows.commit(&a.writes), "version {v} again");
     }
-    expect_that!(rows.len(), eq(LOG_KEPT as usize + 2));
+    expect_that!(rows.len(), eq(MAX_LOG_VERSIONS as usize + 2));
     let head: HeadRow = rows.read(HEAD_KEY).unwrap().1;
     expect_that!((head.version, head.checksum), eq(&(last, checksum(TEXT))));
-    let oldest = last - LOG_KEPT + 1;
+    let oldest = last - MAX_LOG_VERSIONS + 1;
     let kept: LogRow = rows.read(&log_key(oldest)).unwrap().1;
     expect_that!(kept.version, eq(oldest));
     let reused: LogRow = rows.read(&log_key(oldest - 1)).unwrap().1;
@@ -84,8 +84,8 @@
     let Decision::Accept(a) = decision else {
         panic!("{decision:?}")
     };
-    expect_that!(a.writes[0].expect, some(eq(77)));
-    expect_that!(a.writes[1].expect, some(eq(77)));
+    expect_that!(a.writes[0].expected_version, some(eq(77)));
+    expect_that!(a.writes[1].expected_version, some(eq(77)));
 }
 
 /// Two operators change the text at the same moment. The one whose transaction
@@ -127,10 +127,10 @@
 #[gtest]
 fn remembered_submissions_are_bounded() {
     let mut row = accepted(None, &submit("s0", 0, "ada", TEXT));
-    for i in 1..(RECENT_KEPT as u64 + 10) {
+    for i in 1..(MAX_RECENT_SUBMISSIONS as u64 + 10) {
         row = accepted(Some((i, &row)), &submit(&format!("s{i}"), i, "ada", TEXT));
     }
-    expect_that!(row.recent.len(), eq(RECENT_KEPT));
+    expect_that!(row.recent.len(), eq(MAX_RECENT_SUBMISSIONS));
     // Out of memory and judged by its base alone: still not accepted twice.
     let again = decide_submit(Some((1, &row)), None, &submit("s0", 0, "ada", TEXT));
     expect_that!(again, matches_pattern!(Decision::Conflict(anything())));
@@ -148,7 +148,7 @@
 fn versions_only_rise_at_a_node() {
     let offers = prop::collection::vec((0u64..6, any::<bool>()), 1..30);
     let tested = runner(6).run(&offers, |offers| {
-        let mut node = Applied::empty();
+        let mut node = AppliedConfig::empty();
         for (version, damaged) in offers {
             let text = format!("[tenant t]\ntoken_sha256 = {version:064x}\n");
             let sum = if damaged {
@@ -157,11 +157,11 @@
                 checksum(&text)
             };
             let before = node.version();
-            let offered = node.offer(version, &text, &sum);
+            let offered = node.apply(version, &text, &sum);
             prop_assert!(node.version() >= before);
             prop_assert_eq!(checksum(node.text()), node.checksum().clone());
             prop_assert_eq!(
-                offered == Ok(Offered::Applied { from: before }),
+                offered == Ok(ApplyOutcome::Applied { from: before }),
                 !damaged && version > before
             );
         }
@@ -172,29 +172,32 @@
 
 #[gtest]
 fn what_a_node_refuses_leaves_its_text_in_force() {
-    let mut node = Applied::empty();
+    let mut node = AppliedConfig::empty();
     let sum = checksum(TEXT);
     expect_that!(
-        node.offer(2, TEXT, &sum),
-        ok(eq(&Offered::Applied { from: 0 }))
+        node.apply(2, TEXT, &sum),
+        ok(eq(&ApplyOutcome::Applied { from: 0 }))
     );
-    expect_that!(node.offer(2, TEXT, &sum), ok(eq(&Offered::InForce)));
-    let older = OfferError::Older {
+    expect_that!(node.apply(2, TEXT, &sum), ok(eq(&ApplyOutcome::Unchanged)));
+    let stale = ApplyError::Stale {
         offered: 1,
-        in_force: 2,
+        current: 2,
     };
-    expect_that!(node.offer(1, TEXT, &sum), err(eq(&older)));
+    expect_that!(node.apply(1, TEXT, &sum), err(eq(&stale)));
     let half = &TEXT[..TEXT.len() / 2];
-    expect_that!(node.offer(3, half, &sum), err(eq(&OfferError::Checksum(3))));
     expect_that!(
-        node.offer(2, "", &checksum("")),
-        err(eq(&OfferError::Fork(2)))
+        node.apply(3, half, &sum),
+        err(eq(&ApplyError::ChecksumMismatch(3)))
+    );
+    expect_that!(
+        node.apply(2, "", &checksum("")),
+        err(eq(&ApplyError::VersionConflict(2)))
     );
     let newer_keys = "[fleet]\nnovel = 1\n";
-    let unread = node.offer(3, newer_keys, &checksum(newer_keys));
+    let unread = node.apply(3, newer_keys, &checksum(newer_keys));
     expect_that!(
         unread,
-        err(matches_pattern!(OfferError::Unreadable {
+        err(matches_pattern!(ApplyError::Invalid {
             version: eq(&3),
             ..
         }))
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parse.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{TEXT, runner};
-use eelgrassmill_config::{Config, ConfigErrors, MAX_TEXT, ServiceKind};
+use eelgrassmill_config::{Config, ConfigErrors, MAX_TEXT_BYTES, ServiceKind};
 use googletest::prelude::*;
 use proptest::prelude::*;
 
@@ -25,7 +25,7 @@
     expect_false!(config.services["status"].repeatable);
     expect_true!(config.checks_orders("engine-1"));
     expect_false!(config.checks_orders("engine-2"));
-    expect_true!(config.drains_node("node-a"));
+    expect_true!(config.is_node_draining("node-a"));
 }
 
 #[gtest]
@@ -120,11 +120,11 @@
         );
     }
     expect_that!(Config::parse(&chain, "f"), ok(anything()));
-    let huge = "#".repeat(MAX_TEXT + 1);
+    let huge = "#".repeat(MAX_TEXT_BYTES + 1);
     insta::assert_snapshot!(errors(&huge));
     let garbage = "garbage\n".repeat(10_000);
     let found = Config::parse(&garbage, "f").unwrap_err();
-    expect_that!(found.as_slice().len(), eq(ConfigErrors::MOST));
+    expect_that!(found.as_slice().len(), eq(ConfigErrors::MAX_ERRORS));
 }
 
 #[gtest]
--- a/crates/group/examples/repair/fleets.rs
+++ b/crates/group/examples/repair/fleets.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use eelgrassmill_base::ServiceName;
-use eelgrassmill_config::{Config, ModelService, RepairWeight, Service, ServiceKind, TargetRule};
+use eelgrassmill_config::{
+    Config, ModelService, RepairObjective, Service, ServiceKind, TargetOptions,
+};
 use eelgrassmill_group::RepairPolicy;
 use smol_str::{SmolStr, format_smolstr};
 
@@ -44,14 +46,14 @@
         let checks_orders = true;
         (
             host.into(),
-            TargetRule {
+            TargetOptions {
                 checks_orders,
                 drain: false,
             },
         )
     };
     Config {
-        repair: RepairWeight::Downtime,
+        repair: RepairObjective::Downtime,
         services: services.into_iter().collect(),
         tenants: BTreeMap::new(),
         nodes: BTreeMap::new(),
