--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -36,10 +36,10 @@
 use crate::catalog::{ModelSpec, Service};
 use crate::fleet::Fleet;
 use crate::host::{Host, MembershipPhase};
-use crate::planner::advance::Moment;
-use crate::planner::choose::View;
+use crate::planner::advance::PlanInput;
+use crate::planner::choose::ServiceView;
 use crate::planner::formations::Formations;
-use crate::planner::knowledge::{Asked, LATE_ORDERS, Silence};
+use crate::planner::knowledge::{LastReport, MAX_ORDER_DELAY, Silence};
 use crate::planner::rejecting::RejectingHosts;
 use crate::planner::serving::ServingCounts;
 
@@ -47,10 +47,10 @@
 const EPOCHS_PER_TERM: u64 = 1 << 20;
 /// How long it is remembered what was sent to a host: longer than any interval between two
 /// orders of a kind.
-const SENT_MEMORY: Duration = Duration::from_secs(2);
+const SENT_TTL: Duration = Duration::from_secs(2);
 /// A join from nothing in a host that was a member of a replica of this model: 0.2 s by
 /// the platform's page.
-const PRIMED_JOIN: Duration = Duration::from_millis(200);
+const PRIMED_JOIN_TIME: Duration = Duration::from_millis(200);
 
 value! {
     /// Times of the planner.
@@ -101,26 +101,26 @@
 #[derive(Clone, Debug)]
 pub struct Planner {
     term: u64,
-    began: Instant,
+    started_at: Instant,
     formed: u64,
     timing: PlannerTiming,
     /// Invariant: a host is a member of at most one formation.
     formations: Formations,
     /// Invariant: true while replicas are being formed, and outdated between two steps.
     serving: ServingCounts,
-    /// Hosts that told this planner themselves which replica they belong to. Invariant:
-    /// after the first term only these join anything, and none told it while the planner
+    /// Hosts that report this planner themselves which replica they belong to. Invariant:
+    /// after the first term only these join anything, and none report it while the planner
     /// before could still give orders.
-    asked: BTreeMap<HostId, Asked>,
+    last_reports: BTreeMap<HostId, LastReport>,
     /// Hosts that left an order unanswered, and when. They may carry it out yet.
-    unsettled: BTreeMap<HostId, Instant>,
+    unconfirmed_orders: BTreeMap<HostId, Instant>,
     /// Hosts that give no answer.
     silent: BTreeMap<HostId, Silence>,
     /// Formations whose hosts are free, for as long as entries may still show them.
     dissolved: BTreeMap<GroupId, Dissolved>,
-    unanswered: BTreeMap<HostId, u32>,
+    unanswered_counts: BTreeMap<HostId, u32>,
     /// Hosts to ask because an order got no answer.
-    doubtful: BTreeSet<HostId>,
+    pending_queries: BTreeSet<HostId>,
     /// Orders and questions under way or sent lately by the epoch that they are about, 0
     /// for none, and when.
     sent: BTreeMap<(HostId, MessageKind, Epoch), Instant>,
@@ -160,17 +160,17 @@
     pub fn new(term: u64, timing: PlannerTiming, now: Instant) -> Planner {
         Planner {
             term,
-            began: now,
+            started_at: now,
             formed: 0,
             timing,
             formations: Formations::default(),
             serving: ServingCounts::default(),
-            asked: BTreeMap::new(),
-            unsettled: BTreeMap::new(),
+            last_reports: BTreeMap::new(),
+            unconfirmed_orders: BTreeMap::new(),
             silent: BTreeMap::new(),
             dissolved: BTreeMap::new(),
-            unanswered: BTreeMap::new(),
-            doubtful: BTreeSet::new(),
+            unanswered_counts: BTreeMap::new(),
+            pending_queries: BTreeSet::new(),
             sent: BTreeMap::new(),
             primed: BTreeMap::new(),
             staging: BTreeMap::new(),
@@ -190,7 +190,7 @@
         let known = self.formations.get_mut(replica);
         let serving = known.filter(|f| f.epoch == epoch && f.phase == FormationPhase::Open);
         if let Some(f) = serving {
-            f.lose(loss, now);
+            f.abandon(loss, now);
         }
     }
 
@@ -207,10 +207,10 @@
         now: Instant,
     ) {
         if reply.is_some() {
-            self.unanswered.remove(host);
+            self.unanswered_counts.remove(host);
         } else {
-            self.unsettled.insert(host.clone(), now);
-            self.doubtful.insert(host.clone());
+            self.unconfirmed_orders.insert(host.clone(), now);
+            self.pending_queries.insert(host.clone());
         }
         let Some((replica, epoch)) = order.formation() else {
             return;
@@ -231,30 +231,30 @@
         }
         // A formation that was given up while the order was under way stays given up:
         // taken back, it would serve without the member that it lost.
-        let step = formation.phase;
+        let phase = formation.phase;
         match (order, reply) {
             (Order::Join { .. }, None) => {
-                formation.unsettled.insert(host.clone());
+                formation.unconfirmed_joins.insert(host.clone());
             }
             (Order::Join { .. }, Some(OrderReply::Begun | OrderReply::Done)) => {
                 formation.accepted.insert(host.clone());
             }
             (Order::Join { .. }, Some(OrderReply::Fenced | OrderReply::WrongHost))
-                if step == FormationPhase::Joining =>
+                if phase == FormationPhase::Joining =>
             {
-                formation.lose(LossReason::Refused(host.clone()), now);
+                formation.abandon(LossReason::Refused(host.clone()), now);
             }
             (Order::Open { .. }, Some(OrderReply::Begun | OrderReply::Done))
-                if step == FormationPhase::Opening =>
+                if phase == FormationPhase::Opening =>
             {
-                formation.enter(FormationPhase::Open, now);
+                formation.enter_phase(FormationPhase::Open, now);
             }
             // It was ready, so it has been taken out of the formation. Told again and again,
             // it would never serve, and its hosts be bound for good.
             (Order::Open { .. }, Some(OrderReply::Conflict | OrderReply::WrongHost))
-                if step == FormationPhase::Opening =>
+                if phase == FormationPhase::Opening =>
             {
-                formation.lose(LossReason::Refused(host.clone()), now);
+                formation.abandon(LossReason::Refused(host.clone()), now);
             }
             // A conflict means that it is no member, and another host at its address
             // that it is gone.
@@ -279,10 +279,10 @@
         if count != self.host_count.0 {
             self.host_count = (count, now);
         }
-        self.forget_returned(fleet, now);
-        self.rejecting.forget_old(now);
+        self.remove_stale(fleet, now);
+        self.rejecting.remove_expired(now);
         self.adopt(fleet, services, now);
-        let at = Moment {
+        let input = PlanInput {
             fleet,
             services,
             cold,
@@ -290,29 +290,29 @@
         };
         let ids: Vec<GroupId> = self.formations.ids().cloned().collect();
         for id in ids {
-            self.advance(&id, &at, &mut commands);
+            self.advance(&id, &input, &mut commands);
         }
-        if !self.is_settling(now) {
+        if !self.is_taking_over(now) {
             self.serving = ServingCounts::of(self.formations.values());
             for service in services {
                 let Some(engine) = &service.engine else {
                     continue;
                 };
-                let view = View {
+                let view = ServiceView {
                     service,
                     engine,
                     fleet,
                     cold,
                     now,
                 };
-                self.form(&view, &mut commands);
+                self.form_replicas(&view, &mut commands);
             }
         }
-        if !self.is_settling(now) {
-            self.ask_unknown(fleet, services, now, &mut commands);
+        if !self.is_taking_over(now) {
+            self.query_unknown(fleet, services, now, &mut commands);
         }
-        self.ask_doubtful(fleet, now, &mut commands);
-        self.ask_silent(fleet, now, &mut commands);
+        self.query_pending(fleet, now, &mut commands);
+        self.query_silent(fleet, now, &mut commands);
         // Formations that were just decided are ordered at once.
         let joining = |f: &Formation| f.phase == FormationPhase::Joining && f.accepted.is_empty();
         let fresh: Vec<GroupId> = self
@@ -322,27 +322,27 @@
             .map(|f| f.id.clone())
             .collect();
         for id in fresh {
-            self.advance(&id, &at, &mut commands);
+            self.advance(&id, &input, &mut commands);
         }
         commands
     }
 
     /// Drops what is remembered of hosts that are gone. A silent host counts again once
     /// it is listed anew or with another start.
-    fn forget_returned(&mut self, fleet: &Fleet, now: Instant) {
+    fn remove_stale(&mut self, fleet: &Fleet, now: Instant) {
         let bound: BTreeSet<HostId> = self
             .formations
             .values()
-            .flat_map(|f| f.bound().cloned())
+            .flat_map(|f| f.held_members().cloned())
             .collect();
         let concerns = |id: &HostId| fleet.host(id).is_some() || bound.contains(id);
-        self.unanswered.retain(|id, _| concerns(id));
-        self.doubtful.retain(concerns);
-        self.asked
+        self.unanswered_counts.retain(|id, _| concerns(id));
+        self.pending_queries.retain(concerns);
+        self.last_reports
             .retain(|id, a| fleet.host(id).is_some_and(|h| h.started_ms == a.born_ms));
-        self.unsettled
-            .retain(|_, at| now.saturating_duration_since(*at) < LATE_ORDERS);
-        let recent = |at: Instant| now.saturating_duration_since(at) < SENT_MEMORY;
+        self.unconfirmed_orders
+            .retain(|_, at| now.saturating_duration_since(*at) < MAX_ORDER_DELAY);
+        let recent = |at: Instant| now.saturating_duration_since(at) < SENT_TTL;
         self.sent.retain(|(id, ..), at| recent(*at) && concerns(id));
         // A load that is done must not count as under way once its host holds another model.
         self.staging.retain(|id, (model, until)| {
@@ -402,7 +402,7 @@
             let whole = model.is_some_and(|m| hosts.len() == m.size && ranks.eq(0..m.size));
             // After an outage of the store hosts are listed again one by one; replicas that
             // serve would be given up for members that are still to come.
-            if !whole && self.is_settling(now) {
+            if !whole && self.is_taking_over(now) {
                 continue;
             }
             let name = model.map(|m| m.name.clone()).unwrap_or_default();
@@ -413,10 +413,10 @@
             formation.accepted = formation.members.iter().cloned().collect();
             formation.open_sent = true;
             if first.is_open_head() {
-                formation.enter(FormationPhase::Open, now);
+                formation.enter_phase(FormationPhase::Open, now);
             }
-            if !whole || self.own_epoch(replica.epoch) {
-                formation.lose(LossReason::Incomplete, now);
+            if !whole || self.is_own_epoch(replica.epoch) {
+                formation.abandon(LossReason::Incomplete, now);
             }
             self.formations.insert(formation);
         }
@@ -425,14 +425,14 @@
     /// Takes in hosts that report to be members of a formation and don't count as such.
     ///
     /// Entries come one by one: members of a replica that is being given up may show only
-    /// now, and its head may still be told to serve.
+    /// now, and its head may still be report to serve.
     fn update_members(&mut self, replica: &GroupId, hosts: &[&Host], now: Instant) {
         for host in hosts {
             let Some(known) = self.formations.get_mut(replica) else {
                 return;
             };
             if known.members.contains(&host.id) {
-                known.take_back(&host.id, now);
+                known.reinstate(&host.id, now);
             } else if known.loss.is_some() {
                 self.formations.add_member(replica, host);
             }
@@ -440,29 +440,31 @@
     }
 
     /// Whether this planner made the epoch.
-    fn own_epoch(&self, epoch: Epoch) -> bool {
+    fn is_own_epoch(&self, epoch: Epoch) -> bool {
         epoch / EPOCHS_PER_TERM == self.term
     }
 
     /// Whether the planner before this one may still give orders, or hosts be about to show
     /// what it ordered.
-    fn is_settling(&self, now: Instant) -> bool {
-        self.term > 1 && now.saturating_duration_since(self.began) < self.timing.takeover_delay
+    fn is_taking_over(&self, now: Instant) -> bool {
+        self.term > 1 && now.saturating_duration_since(self.started_at) < self.timing.takeover_delay
     }
 
     /// The formation that a host is a member of.
     pub fn formation_of(&self, host: &str) -> Option<&Formation> {
-        self.formations.listing(host).find(|f| f.binds(host))
+        self.formations
+            .of_member(host)
+            .find(|f| f.holds_member(host))
     }
 
     /// A member that is silent goes before one that is leaving and may still work.
     fn worst_loss(&self, f: &Formation, fleet: &Fleet) -> Option<LossReason> {
         let silent = f.members.iter().find(|m| self.silent.contains_key(*m));
-        let lost = || f.members.iter().find_map(|m| self.is_lost(m, fleet));
+        let lost = || f.members.iter().find_map(|m| self.loss_of(m, fleet));
         silent.map(|m| LossReason::Silent(m.clone())).or_else(lost)
     }
 
-    fn is_lost(&self, host: &HostId, fleet: &Fleet) -> Option<LossReason> {
+    fn loss_of(&self, host: &HostId, fleet: &Fleet) -> Option<LossReason> {
         if self.silent.contains_key(host) {
             return Some(LossReason::Silent(host.clone()));
         }
@@ -483,12 +485,12 @@
     fn is_free(&self, host: &Host) -> bool {
         let is_taken = |f: &Formation| {
             let serves = f.purpose == Purpose::Serve;
-            serves && f.binds(&host.id) || f.holds(&host.id)
+            serves && f.holds_member(&host.id) || f.may_rejoin(&host.id)
         };
         host.is_ready()
             && !self.silent.contains_key(&host.id)
-            && self.knows(host)
-            && !self.formations.listing(&host.id).any(is_taken)
+            && self.knows_membership(host)
+            && !self.formations.of_member(&host.id).any(is_taken)
     }
 }
 
--- a/crates/fleet/src/planner/advance.rs
+++ b/crates/fleet/src/planner/advance.rs
@@ -12,7 +12,7 @@
 use crate::planner::{Dissolved, Planner, find_model};
 
 /// What one step of the planner rests on.
-pub(super) struct Moment<'m> {
+pub(super) struct PlanInput<'m> {
     pub(super) fleet: &'m Fleet,
     pub(super) services: &'m [&'m Service],
     /// Whether no request was ever served, so that loads are quick and not bounded.
@@ -21,27 +21,34 @@
 }
 
 impl Planner {
-    pub(super) fn advance(&mut self, id: &GroupId, at: &Moment<'_>, commands: &mut Vec<Command>) {
+    pub(super) fn advance(
+        &mut self,
+        id: &GroupId,
+        input: &PlanInput<'_>,
+        commands: &mut Vec<Command>,
+    ) {
         let Some(mut formation) = self.formations.take(id) else {
             return;
         };
-        let lost = self.worst_loss(&formation, at.fleet);
+        let lost = self.worst_loss(&formation, input.fleet);
         let keep = match formation.phase {
             FormationPhase::Joining | FormationPhase::Opening => {
-                let model = find_model(at.services, &formation.service, &formation.model);
-                self.advance_joining(&mut formation, lost, model, at, commands)
+                let model = find_model(input.services, &formation.service, &formation.model);
+                self.advance_joining(&mut formation, lost, model, input, commands)
             }
             FormationPhase::Open => {
-                self.advance_open(&mut formation, lost, at);
+                self.advance_open(&mut formation, lost, input);
                 true
             }
-            FormationPhase::Draining => self.advance_draining(&mut formation, lost, at, commands),
-            FormationPhase::Dissolving => self.advance_dissolving(&mut formation, at, commands),
+            FormationPhase::Draining => {
+                self.advance_draining(&mut formation, lost, input, commands)
+            }
+            FormationPhase::Dissolving => self.advance_dissolving(&mut formation, input, commands),
         };
         if keep {
             self.formations.put_back(formation);
         } else {
-            self.formations.dropped(&formation);
+            self.formations.remove_from_index(&formation);
         }
     }
 
@@ -51,50 +58,50 @@
         f: &mut Formation,
         lost: Option<LossReason>,
         model: Option<&ModelSpec>,
-        at: &Moment<'_>,
+        input: &PlanInput<'_>,
         commands: &mut Vec<Command>,
     ) -> bool {
         if f.purpose == Purpose::Prime {
-            return self.advance_priming(f, lost, model, at, commands);
+            return self.advance_priming(f, lost, model, input, commands);
         }
         if lost.is_some() || f.loss.is_some() {
             // The order to open may be under way: until the head has left it may serve.
             if f.open_sent {
-                f.lose(lost.unwrap_or(LossReason::Incomplete), at.now);
+                f.abandon(lost.unwrap_or(LossReason::Incomplete), input.now);
                 return true;
             }
             return false;
         }
         for member in f.members.clone() {
-            let Some(host) = at.fleet.host(&member) else {
+            let Some(host) = input.fleet.host(&member) else {
                 continue;
             };
-            if self.note_ready(f, host) {
+            if self.record_ready(f, host) {
                 continue;
             }
             if !f.accepted.contains(&member) {
-                self.order_to_join(f, host, at.now, commands);
+                self.order_to_join(f, host, input.now, commands);
                 continue;
             }
-            let expected = f.since + self.join_time(host, model, at.now);
+            let expected = f.since + self.join_time(host, model, input.now);
             // Before there are requests, entries are early enough.
-            let patience = if at.cold {
+            let patience = if input.cold {
                 self.timing.max_entry_lag
             } else {
                 Duration::ZERO
             };
-            if at.now >= expected + patience {
-                self.ask(&member, at.now, commands);
+            if input.now >= expected + patience {
+                self.query(&member, input.now, commands);
             }
         }
         if f.ready.len() == f.members.len() {
-            self.open(f, at, commands);
+            self.open(f, input, commands);
         }
         true
     }
 
     /// Whether a member has said that it is ready; notes it if it says so now.
-    fn note_ready(&mut self, f: &mut Formation, host: &Host) -> bool {
+    fn record_ready(&mut self, f: &mut Formation, host: &Host) -> bool {
         if f.is_ready_member(host) {
             let joined = (host.started_ms, f.model.clone());
             self.primed.insert(host.id.clone(), joined);
@@ -103,27 +110,27 @@
         f.ready.contains(&host.id)
     }
 
-    fn open(&mut self, f: &mut Formation, at: &Moment<'_>, commands: &mut Vec<Command>) {
+    fn open(&mut self, f: &mut Formation, input: &PlanInput<'_>, commands: &mut Vec<Command>) {
         let Some(head) = f.head().cloned() else {
             return;
         };
-        if at
+        if input
             .fleet
             .host(&head)
             .is_some_and(|h| f.is_member(h) && h.is_open_head())
         {
-            f.enter(FormationPhase::Open, at.now);
+            f.enter_phase(FormationPhase::Open, input.now);
             return;
         }
         f.open_sent = true;
         if f.phase != FormationPhase::Opening {
-            f.enter(FormationPhase::Opening, at.now);
+            f.enter_phase(FormationPhase::Opening, input.now);
         }
         let open = Order::Open {
             replica: f.id.clone(),
             epoch: f.epoch,
         };
-        self.send(open, f, &head, at.now, commands);
+        self.send(open, f, &head, input.now, commands);
     }
 
     /// A spare joins a replica of its own that is never opened, so that it joins a
@@ -133,58 +140,58 @@
         f: &mut Formation,
         lost: Option<LossReason>,
         model: Option<&ModelSpec>,
-        at: &Moment<'_>,
+        input: &PlanInput<'_>,
         commands: &mut Vec<Command>,
     ) -> bool {
         if lost.is_some() || f.loss.is_some() || model.is_none() {
             return false;
         }
         for member in f.members.clone() {
-            let Some(host) = at.fleet.host(&member) else {
+            let Some(host) = input.fleet.host(&member) else {
                 continue;
             };
-            if !self.note_ready(f, host) && !f.accepted.contains(&member) {
-                self.order_to_join(f, host, at.now, commands);
+            if !self.record_ready(f, host) && !f.accepted.contains(&member) {
+                self.order_to_join(f, host, input.now, commands);
             }
         }
         true
     }
 
-    fn advance_open(&mut self, f: &mut Formation, lost: Option<LossReason>, at: &Moment<'_>) {
+    fn advance_open(&mut self, f: &mut Formation, lost: Option<LossReason>, input: &PlanInput<'_>) {
         if let Some(loss) = lost {
             // A host whose entry vanished may be leaving without a word, and serve on.
             let planned = matches!(loss, LossReason::Leaving(_) | LossReason::Gone(_));
-            if planned && self.may_stay(f, at) {
+            if planned && self.may_stay(f, input) {
                 return;
             }
-            f.lose(loss, at.now);
+            f.abandon(loss, input.now);
             if planned {
-                f.enter(FormationPhase::Draining, at.now);
+                f.enter_phase(FormationPhase::Draining, input.now);
             }
             return;
         }
-        if at.now.saturating_duration_since(f.since) < self.timing.max_entry_lag {
+        if input.now.saturating_duration_since(f.since) < self.timing.max_entry_lag {
             return;
         }
-        if let Some(head) = f.head().filter(|_| self.needs_another_head(f, at)) {
-            f.lose(LossReason::Rejects(head.clone()), at.now);
-            f.enter(FormationPhase::Draining, at.now);
+        if let Some(head) = f.head().filter(|_| self.needs_another_head(f, input)) {
+            f.abandon(LossReason::Rejects(head.clone()), input.now);
+            f.enter_phase(FormationPhase::Draining, input.now);
             return;
         }
         for member in &f.members {
-            let Some(host) = at.fleet.host(member) else {
+            let Some(host) = input.fleet.host(member) else {
                 continue;
             };
             if !f.is_member(host) {
-                f.lose(LossReason::Elsewhere(member.clone()), at.now);
+                f.abandon(LossReason::Elsewhere(member.clone()), input.now);
                 return;
             }
         }
-        let head = f.head().and_then(|h| at.fleet.host(h));
+        let head = f.head().and_then(|h| input.fleet.host(h));
         match head.and_then(|h| h.membership.as_ref()).map(|m| m.phase) {
-            Some(MembershipPhase::Broken) => f.lose(LossReason::Broken, at.now),
+            Some(MembershipPhase::Broken) => f.abandon(LossReason::Broken, input.now),
             // A late order closed it: open it again.
-            Some(MembershipPhase::Ready) => f.enter(FormationPhase::Joining, at.now),
+            Some(MembershipPhase::Ready) => f.enter_phase(FormationPhase::Joining, input.now),
             _ => {}
         }
     }
@@ -194,13 +201,13 @@
     /// A member, unlike a head, gets no requests, and stays for up to 10 s while its head
     /// has work. Where no spare can take its place at once, the replica is of more use
     /// with it than dissolved.
-    fn may_stay(&mut self, f: &mut Formation, at: &Moment<'_>) -> bool {
+    fn may_stay(&mut self, f: &mut Formation, input: &PlanInput<'_>) -> bool {
         let head_stays = f
             .head()
-            .is_some_and(|h| self.is_lost(h, at.fleet).is_none());
-        let since = *f.leaving_since.get_or_insert(at.now);
-        let long = at.now.saturating_duration_since(since) >= self.timing.max_leaving_time;
-        head_stays && !long && !self.can_replace(f, at.fleet)
+            .is_some_and(|h| self.loss_of(h, input.fleet).is_none());
+        let since = *f.leaving_since.get_or_insert(input.now);
+        let long = input.now.saturating_duration_since(since) >= self.timing.max_leaving_time;
+        head_stays && !long && !self.can_replace(f, input.fleet)
     }
 
     /// Whether free hosts could join now in place of all members that are leaving.
@@ -208,7 +215,7 @@
         let lost = f
             .members
             .iter()
-            .filter(|m| self.is_lost(m, fleet).is_some())
+            .filter(|m| self.loss_of(m, fleet).is_some())
             .count();
         let primed = |h: &Host| self.primed.get(&h.id).is_some_and(|(_, m)| *m == f.model);
         let joins = |h: &&Host| primed(h) || h.staged.contains(&f.model);
@@ -222,30 +229,30 @@
         &mut self,
         f: &mut Formation,
         lost: Option<LossReason>,
-        at: &Moment<'_>,
+        input: &PlanInput<'_>,
         commands: &mut Vec<Command>,
     ) -> bool {
         let Some(head) = f.head().cloned() else {
             return false;
         };
-        let phase = at.fleet.host(&head).filter(|h| f.is_member(h));
+        let phase = input.fleet.host(&head).filter(|h| f.is_member(h));
         let phase = phase.and_then(|h| h.membership.as_ref()).map(|m| m.phase);
         let finished = matches!(
             phase,
             Some(MembershipPhase::Ready | MembershipPhase::Broken)
         );
-        let over = at.now.saturating_duration_since(f.since) >= self.timing.drain_timeout;
+        let over = input.now.saturating_duration_since(f.since) >= self.timing.drain_timeout;
         let worse = lost.is_some_and(|l| matches!(l, LossReason::Silent(_)));
         if finished || over || worse {
-            f.enter(FormationPhase::Dissolving, at.now);
-            return self.advance_dissolving(f, at, commands);
+            f.enter_phase(FormationPhase::Dissolving, input.now);
+            return self.advance_dissolving(f, input, commands);
         }
         if phase.is_none_or(|p| p == MembershipPhase::Open) {
             let close = Order::Close {
                 replica: f.id.clone(),
                 epoch: f.epoch,
             };
-            self.send(close, f, &head, at.now, commands);
+            self.send(close, f, &head, input.now, commands);
         }
         true
     }
@@ -258,42 +265,47 @@
     fn advance_dissolving(
         &mut self,
         f: &mut Formation,
-        at: &Moment<'_>,
+        input: &PlanInput<'_>,
         commands: &mut Vec<Command>,
     ) -> bool {
         let entries_are_new =
-            at.now.saturating_duration_since(f.since) >= self.timing.max_entry_lag;
-        f.gone.retain(|m| at.fleet.host(m).is_none());
-        for member in f.bound().cloned().collect::<Vec<_>>() {
+            input.now.saturating_duration_since(f.since) >= self.timing.max_entry_lag;
+        f.gone.retain(|m| input.fleet.host(m).is_none());
+        for member in f.held_members().cloned().collect::<Vec<_>>() {
             let silent = self.silent.contains_key(&member);
-            let Some(host) = at.fleet.host(&member) else {
+            let Some(host) = input.fleet.host(&member) else {
                 if silent {
                     f.gone.insert(member);
                     continue;
                 }
-                self.order_to_leave(f, &member, self.timing.resend_interval, at.now, commands);
+                self.order_to_leave(f, &member, self.timing.resend_interval, input.now, commands);
                 continue;
             };
-            let reborn = f
+            let restarted = f
                 .member_info
                 .get(&member)
-                .is_none_or(|info| info.is_reborn(host));
-            if reborn || (entries_are_new && !f.is_member(host)) {
-                f.left.insert(member, at.now);
+                .is_none_or(|info| info.has_restarted(host));
+            if restarted || (entries_are_new && !f.is_member(host)) {
+                f.left.insert(member, input.now);
                 continue;
             }
-            let every = if silent {
+            let interval = if silent {
                 self.timing.silent_resend_interval
             } else {
                 self.timing.resend_interval
             };
-            self.order_to_leave(f, &member, every, at.now, commands);
+            self.order_to_leave(f, &member, interval, input.now, commands);
         }
-        let done = f.bound().next().is_none();
+        let done = f.held_members().next().is_none();
         if done {
             let left = f.left.keys().cloned().collect();
-            self.dissolved
-                .insert(f.id.clone(), Dissolved { at: at.now, left });
+            self.dissolved.insert(
+                f.id.clone(),
+                Dissolved {
+                    at: input.now,
+                    left,
+                },
+            );
         }
         !done
     }
--- a/crates/fleet/src/planner/choose.rs
+++ b/crates/fleet/src/planner/choose.rs
@@ -20,7 +20,7 @@
 
 /// A load that was ordered is ordered again after this many times its usual time: beyond
 /// the loads that the weight store serves at once each takes proportionally longer.
-pub(super) const STAGE_PATIENCE: u32 = 2;
+pub(super) const STAGE_TIMEOUT_FACTOR: u32 = 2;
 
 /// A model whose replicas have this many times less work each than another's would have
 /// leaves hosts that the other waits for to it.
@@ -31,10 +31,10 @@
 const MAX_MISSING_HOSTS: usize = 1;
 
 /// Hosts that start together are listed within a second of each other.
-const LISTED_AFTER: Duration = Duration::from_secs(1);
+const LIST_SETTLE_TIME: Duration = Duration::from_secs(1);
 
 /// What the decisions of one step rest on.
-pub(super) struct View<'v> {
+pub(super) struct ServiceView<'v> {
     pub(super) service: &'v Service,
     pub(super) engine: &'v Engine,
     pub(super) fleet: &'v Fleet,
@@ -45,17 +45,17 @@
 
 impl Planner {
     /// Forms replicas from free hosts, and readies those that are left over.
-    pub(super) fn form(&mut self, view: &View<'_>, commands: &mut Vec<Command>) {
+    pub(super) fn form_replicas(&mut self, view: &ServiceView<'_>, commands: &mut Vec<Command>) {
         // Of hosts that are listed one by one, the first few would go to whichever model fits.
         if view.cold && !self.all_are_listed(view.now) {
             return;
         }
         let mut domains = self.free_hosts(view);
-        let unasked = self.domains_to_ask(view);
+        let unasked = self.unreported_domains(view);
         for (fabric, free) in &mut domains {
             // The first few hosts that answer a new planner would go to whichever model fits.
             if !unasked.contains(fabric) {
-                self.form_in(view, fabric, free, commands);
+                self.form_in_domain(view, fabric, free, commands);
             }
         }
         // Before requests come, replicas that serve are loaded first.
@@ -76,17 +76,20 @@
     }
 
     /// Fabric domains with hosts that have yet to tell this planner which replica they belong to.
-    fn domains_to_ask<'f>(&self, view: &View<'f>) -> BTreeSet<&'f FabricDomain> {
+    fn unreported_domains<'f>(&self, view: &ServiceView<'f>) -> BTreeSet<&'f FabricDomain> {
         let unasked = |h: &&Host| {
             let is_ours = h.service == view.service.name && h.is_ready();
-            is_ours && !self.knows(h) && !self.silent.contains_key(&h.id)
+            is_ours && !self.knows_membership(h) && !self.silent.contains_key(&h.id)
         };
         let hosts = view.fleet.hosts().filter(unasked);
         hosts.map(|h| &h.fabric).collect()
     }
 
     /// Hosts that no serving formation has, by fabric domain.
-    pub(super) fn free_hosts<'f>(&self, view: &View<'f>) -> BTreeMap<FabricDomain, Vec<&'f Host>> {
+    pub(super) fn free_hosts<'f>(
+        &self,
+        view: &ServiceView<'f>,
+    ) -> BTreeMap<FabricDomain, Vec<&'f Host>> {
         let mut domains: BTreeMap<FabricDomain, Vec<&Host>> = BTreeMap::new();
         for host in view.fleet.hosts() {
             if host.service == view.service.name && self.is_free(host) {
@@ -97,33 +100,38 @@
     }
 
     /// Forms what a domain's free hosts can form. Leaves those that aren't spoken for.
-    fn form_in(
+    fn form_in_domain(
         &mut self,
-        view: &View<'_>,
+        view: &ServiceView<'_>,
         fabric: &FabricDomain,
         free: &mut Vec<&Host>,
         commands: &mut Vec<Command>,
     ) {
-        self.form_from_holders(view, fabric, free);
+        self.form_without_loads(view, fabric, free);
         for model in self.wanted_models(view, fabric, free.len()) {
-            let first = self.serving(view, model, Some(fabric)) == 0;
+            let first = self.serving_count(view, model, Some(fabric)) == 0;
             let kept = if first { 0 } else { view.engine.models.len() };
             if model.size == 0 || free.len() < model.size + kept {
                 continue;
             }
             free.sort_by_key(|h| (self.join_time(h, Some(model), view.now), h.id.clone()));
             let chosen: Vec<&Host> = free.iter().take(model.size).copied().collect();
-            let lacking = chosen.iter().filter(|h| !self.holds(h, model)).count();
+            let lacking = chosen
+                .iter()
+                .filter(|h| !self.has_weights(h, model))
+                .count();
             if lacking == 0 || view.cold {
-                if !self.is_being_freed(fabric, view.now) && self.form_one(view, model, &chosen) {
+                if !self.is_releasing_members(fabric, view.now)
+                    && self.form_replica(view, model, &chosen)
+                {
                     free.drain(..model.size);
                 }
                 continue;
             }
             // A further replica isn't worth binding spares for. While members of a lost one
-            // leave, a model may only seem to have none: told to load it, hosts that wait for
+            // leave, a model may only seem to have none: report to load it, hosts that wait for
             // another model would lose that one's weights.
-            if first && !self.is_being_freed(fabric, view.now) {
+            if first && !self.is_releasing_members(fabric, view.now) {
                 for host in chosen {
                     self.stage(view, host, model, commands);
                 }
@@ -140,30 +148,35 @@
     /// longer. Not for a model that has more than enough beside one that lacks these hosts.
     /// Beside a further replica one spare is left: more would serve nobody, and the next loss of
     /// such a replica is mended from its own survivors.
-    fn form_from_holders(&mut self, view: &View<'_>, fabric: &FabricDomain, free: &mut Vec<&Host>) {
-        if view.cold || self.is_being_freed(fabric, view.now) {
+    fn form_without_loads(
+        &mut self,
+        view: &ServiceView<'_>,
+        fabric: &FabricDomain,
+        free: &mut Vec<&Host>,
+    ) {
+        if view.cold || self.is_releasing_members(fabric, view.now) {
             return;
         }
         let wanted = self.wanted_models(view, fabric, free.len());
-        let neediest = wanted.first().map_or(0.0, |m| self.need(view, m));
+        let neediest = wanted.first().map_or(0.0, |m| self.unmet_demand(view, m));
         for model in wanted {
-            let first = self.serving(view, model, Some(fabric)) == 0;
+            let first = self.serving_count(view, model, Some(fabric)) == 0;
             let kept = usize::from(!first);
-            let is_needed = self.need(view, model) * REBALANCE_RATIO >= neediest;
+            let is_needed = self.unmet_demand(view, model) * REBALANCE_RATIO >= neediest;
             if model.size == 0 || free.len() < model.size + kept || !is_needed {
                 continue;
             }
             free.sort_by_key(|h| (self.join_time(h, Some(model), view.now), h.id.clone()));
             let chosen: Vec<&Host> = free.iter().take(model.size).copied().collect();
-            let all_hold = chosen.iter().all(|h| self.holds(h, model));
-            if all_hold && self.form_one(view, model, &chosen) {
+            let all_hold = chosen.iter().all(|h| self.has_weights(h, model));
+            if all_hold && self.form_replica(view, model, &chosen) {
                 free.drain(..model.size);
             }
         }
     }
 
     /// Whether a host joins a replica of the model without a load.
-    pub(super) fn holds(&self, host: &Host, model: &ModelSpec) -> bool {
+    pub(super) fn has_weights(&self, host: &Host, model: &ModelSpec) -> bool {
         host.staged.contains(&model.name) || self.is_primed(host, model)
     }
 
@@ -171,13 +184,13 @@
     ///
     /// Members of a lost replica leave within milliseconds of each other. One formed in
     /// between would take spares in their place and leave none.
-    fn is_being_freed(&self, fabric: &FabricDomain, now: Instant) -> bool {
+    fn is_releasing_members(&self, fabric: &FabricDomain, now: Instant) -> bool {
         let waits_for = |m: &HostId| !self.silent.contains_key(m);
         let leaving = |f: &&Formation| f.phase == FormationPhase::Dissolving && f.fabric == *fabric;
         let mut leaving = self.formations.values().filter(leaving);
         leaving.any(|f| {
             let recent = now.saturating_duration_since(f.since) < self.timing.leave_timeout;
-            recent && f.bound().any(waits_for)
+            recent && f.held_members().any(waits_for)
         })
     }
 
@@ -190,12 +203,15 @@
     /// would take hosts that wait for one more.
     fn wanted_models<'e>(
         &self,
-        view: &View<'e>,
+        view: &ServiceView<'e>,
         fabric: &FabricDomain,
         free: usize,
     ) -> Vec<&'e ModelSpec> {
         let mut models: Vec<&ModelSpec> = view.engine.models.iter().collect();
-        models.sort_by(|a, b| self.need(view, b).total_cmp(&self.need(view, a)));
+        models.sort_by(|a, b| {
+            self.unmet_demand(view, b)
+                .total_cmp(&self.unmet_demand(view, a))
+        });
         let Some(neediest) = models.first().copied() else {
             return models;
         };
@@ -203,7 +219,7 @@
         let waits_for = if view.cold { 0 } else { MAX_MISSING_HOSTS };
         let others_too = lacking > waits_for && self.all_are_listed(view.now);
         models.retain(|m| {
-            let first = self.serving(view, m, Some(fabric)) == 0;
+            let first = self.serving_count(view, m, Some(fabric)) == 0;
             first || others_too || neediest.name == m.name
         });
         models
@@ -216,19 +232,19 @@
     /// replicas of 6 and 3 half as much of what callers ask for was served on time.
     fn all_are_listed(&self, now: Instant) -> bool {
         let since = self.host_count.1;
-        now.saturating_duration_since(since) >= LISTED_AFTER
+        now.saturating_duration_since(since) >= LIST_SETTLE_TIME
     }
 
     /// The work that one more replica of a model would have.
-    fn need(&self, view: &View<'_>, model: &ModelSpec) -> f64 {
-        let replicas = (self.serving(view, model, None) + 1) as f64;
+    fn unmet_demand(&self, view: &ServiceView<'_>, model: &ModelSpec) -> f64 {
+        let replicas = (self.serving_count(view, model, None) + 1) as f64;
         model.share.get() / (replicas * model.size.max(1) as f64)
     }
 
     /// Replicas of a model that serve or are about to.
-    pub(super) fn serving(
+    pub(super) fn serving_count(
         &self,
-        view: &View<'_>,
+        view: &ServiceView<'_>,
         model: &ModelSpec,
         fabric: Option<&FabricDomain>,
     ) -> usize {
@@ -236,15 +252,23 @@
     }
 
     /// `false` when the loads that it takes must wait.
-    fn form_one(&mut self, view: &View<'_>, model: &ModelSpec, chosen: &[&Host]) -> bool {
-        let loads = chosen.iter().filter(|h| !self.holds(h, model)).count();
-        if !self.take_loads(loads, view) {
+    fn form_replica(
+        &mut self,
+        view: &ServiceView<'_>,
+        model: &ModelSpec,
+        chosen: &[&Host],
+    ) -> bool {
+        let loads = chosen
+            .iter()
+            .filter(|h| !self.has_weights(h, model))
+            .count();
+        if !self.reserve_loads(loads, view) {
             return false;
         }
         let (id, epoch) = self.next_formation();
         let mut chosen = chosen.to_vec();
         // The first becomes the head.
-        chosen.sort_by_key(|h| self.rejecting.is_unfit(&h.id));
+        chosen.sort_by_key(|h| self.rejecting.is_unfit_head(&h.id));
         let Some(formation) = Formation::new(id, epoch, &model.name, &chosen, view.now) else {
             return false;
         };
@@ -257,7 +281,7 @@
     /// Spares give up their own formations when a serving one takes them.
     fn drop_priming(&mut self, members: &[HostId]) {
         for member in members {
-            let listing = self.formations.listing(member);
+            let listing = self.formations.of_member(member);
             let priming = listing.filter(|f| f.purpose == Purpose::Prime);
             let ids: SmallVec<[GroupId; 2]> = priming.map(|f| f.id.clone()).collect();
             for id in ids {
@@ -281,14 +305,14 @@
             return Duration::ZERO;
         };
         if self.is_primed(host, model) {
-            return super::PRIMED_JOIN;
+            return super::PRIMED_JOIN_TIME;
         }
         if host.staged.contains(&model.name) {
             return model.warm_load_time;
         }
         match self.staging.get(&host.id) {
             Some((staging, until)) if *staging == model.name => {
-                let began_to_end = model.load_time * (STAGE_PATIENCE - 1);
+                let began_to_end = model.load_time * (STAGE_TIMEOUT_FACTOR - 1);
                 let end = *until - began_to_end;
                 end.saturating_duration_since(now) + model.warm_load_time
             }
--- a/crates/fleet/src/planner/formation.rs
+++ b/crates/fleet/src/planner/formation.rs
@@ -22,13 +22,13 @@
     pub enum FormationPhase {
         /// Members join.
         Joining,
-        /// All members are ready, and the head was told to serve.
+        /// All members are ready, and the head was report to serve.
         Opening,
         /// It serves.
         Open,
         /// The head finishes what runs.
         Draining,
-        /// All members were told to leave. Invariant: until one has, it joins nothing else.
+        /// All members were report to leave. Invariant: until one has, it joins nothing else.
         Dissolving,
     }
 }
@@ -56,7 +56,7 @@
 }
 
 /// Entries may show for this long that a host is a member that has left: twice the time
-/// that they are late. Where they are later still, a host is told to leave once more.
+/// that they are late. Where they are later still, a host is report to leave once more.
 const ENTRY_DELAY: Duration = Duration::from_millis(500);
 
 /// One replica, as its planner knows it.
@@ -87,10 +87,10 @@
     /// Members that took the order to join.
     pub(crate) accepted: BTreeSet<HostId>,
     /// Members that left an order to join unanswered: they may carry it out after they left.
-    pub(crate) unsettled: BTreeSet<HostId>,
+    pub(crate) unconfirmed_joins: BTreeSet<HostId>,
     /// Members that said that they are ready.
     pub(crate) ready: BTreeSet<HostId>,
-    /// Whether its head was ever told to serve: such an order may be carried out late.
+    /// Whether its head was ever report to serve: such an order may be carried out late.
     pub(crate) open_sent: bool,
     /// Each member's start and address when it was chosen. The address is needed also
     /// after its entry is gone: a host whose entry vanished may serve on for seconds.
@@ -121,7 +121,7 @@
 
     /// Whether the host has started again since. An entry without a start says nothing of
     /// that; taken for a new start it would free a member whose head serves.
-    pub(crate) fn is_reborn(&self, host: &Host) -> bool {
+    pub(crate) fn has_restarted(&self, host: &Host) -> bool {
         self.born_ms != 0 && host.started_ms != 0 && self.born_ms != host.started_ms
     }
 }
@@ -150,7 +150,7 @@
             loss: None,
             leaving_since: None,
             accepted: BTreeSet::new(),
-            unsettled: BTreeSet::new(),
+            unconfirmed_joins: BTreeSet::new(),
             ready: BTreeSet::new(),
             open_sent: false,
             member_info: hosts.iter().map(info).collect(),
@@ -172,7 +172,7 @@
     ///
     /// Taken as free it would be torn from a replica whose head is out of reach and may
     /// still serve.
-    pub(crate) fn take_back(&mut self, host: &HostId, now: Instant) {
+    pub(crate) fn reinstate(&mut self, host: &HostId, now: Instant) {
         let long_ago = |at: &Instant| now.saturating_duration_since(*at) >= ENTRY_DELAY;
         if self.left.get(host).is_some_and(long_ago) {
             self.left.remove(host);
@@ -180,13 +180,13 @@
     }
 
     /// Members that are not free for anything else.
-    pub(crate) fn bound(&self) -> impl Iterator<Item = &HostId> {
+    pub(crate) fn held_members(&self) -> impl Iterator<Item = &HostId> {
         let free = |m: &HostId| self.left.contains_key(m) || self.gone.contains(m);
         self.members.iter().filter(move |m| !free(m))
     }
 
     /// Whether a host is a member that is not free for anything else.
-    pub(crate) fn binds(&self, host: &str) -> bool {
+    pub(crate) fn holds_member(&self, host: &str) -> bool {
         let is_free = self.left.contains_key(host) || self.gone.contains(host);
         !is_free && self.members.iter().any(|m| m == host)
     }
@@ -195,9 +195,11 @@
     ///
     /// Two orders that are both carried out late would otherwise tear it away: the one to
     /// join here, then the one to join elsewhere. A head that is gone holds nobody.
-    pub(crate) fn holds(&self, host: &HostId) -> bool {
+    pub(crate) fn may_rejoin(&self, host: &HostId) -> bool {
         let dissolving = self.phase == FormationPhase::Dissolving;
-        dissolving && self.unsettled.contains(host) && self.bound().next() == self.head()
+        dissolving
+            && self.unconfirmed_joins.contains(host)
+            && self.held_members().next() == self.head()
     }
 
     /// The member that takes the requests.
@@ -217,15 +219,15 @@
         ready && self.is_member(host)
     }
 
-    pub(crate) fn enter(&mut self, step: FormationPhase, now: Instant) {
-        self.phase = step;
+    pub(crate) fn enter_phase(&mut self, phase: FormationPhase, now: Instant) {
+        self.phase = phase;
         self.since = now;
     }
 
     /// Gives it up.
-    pub(crate) fn lose(&mut self, loss: LossReason, now: Instant) {
+    pub(crate) fn abandon(&mut self, loss: LossReason, now: Instant) {
         self.loss = Some(loss);
-        self.enter(FormationPhase::Dissolving, now);
+        self.enter_phase(FormationPhase::Dissolving, now);
     }
 
     pub(crate) fn join(&self) -> Order {
--- a/crates/fleet/src/planner/formations.rs
+++ b/crates/fleet/src/planner/formations.rs
@@ -17,7 +17,7 @@
     by_id: BTreeMap<GroupId, Formation>,
     /// Invariant: for each host the formations that list it as a member, in the order of their
     /// names, and those that were taken out to be advanced.
-    of_host: HashMap<HostId, SmallVec<[GroupId; 2]>>,
+    by_member: HashMap<HostId, SmallVec<[GroupId; 2]>>,
 }
 
 impl Formations {
@@ -39,14 +39,14 @@
     }
 
     /// The formations that list a host as a member, also where it has left.
-    pub(super) fn listing(&self, host: &str) -> impl Iterator<Item = &Formation> {
-        let ids = self.of_host.get(host).into_iter().flatten();
+    pub(super) fn of_member(&self, host: &str) -> impl Iterator<Item = &Formation> {
+        let ids = self.by_member.get(host).into_iter().flatten();
         ids.filter_map(|id| self.by_id.get(id))
     }
 
     pub(super) fn insert(&mut self, formation: Formation) {
         for member in &formation.members {
-            index(&mut self.of_host, member, &formation.id);
+            add_to_index(&mut self.by_member, member, &formation.id);
         }
         self.by_id.insert(formation.id.clone(), formation);
     }
@@ -54,7 +54,7 @@
     pub(super) fn add_member(&mut self, id: &str, host: &Host) {
         if let Some(formation) = self.by_id.get_mut(id) {
             formation.add_member(host);
-            index(&mut self.of_host, &host.id, &formation.id);
+            add_to_index(&mut self.by_member, &host.id, &formation.id);
         }
     }
 
@@ -69,12 +69,12 @@
     }
 
     /// Drops what [`Formations::take`] gave.
-    pub(super) fn dropped(&mut self, formation: &Formation) {
+    pub(super) fn remove_from_index(&mut self, formation: &Formation) {
         for member in &formation.members {
-            if let Some(ids) = self.of_host.get_mut(member) {
+            if let Some(ids) = self.by_member.get_mut(member) {
                 ids.retain(|id| *id != formation.id);
                 if ids.is_empty() {
-                    self.of_host.remove(member);
+                    self.by_member.remove(member);
                 }
             }
         }
@@ -83,13 +83,17 @@
     /// Removes a formation.
     pub(super) fn remove(&mut self, id: &str) {
         if let Some(formation) = self.take(id) {
-            self.dropped(&formation);
+            self.remove_from_index(&formation);
         }
     }
 }
 
-fn index(of_host: &mut HashMap<HostId, SmallVec<[GroupId; 2]>>, host: &HostId, id: &GroupId) {
-    let ids = of_host.entry(host.clone()).or_default();
+fn add_to_index(
+    by_member: &mut HashMap<HostId, SmallVec<[GroupId; 2]>>,
+    host: &HostId,
+    id: &GroupId,
+) {
+    let ids = by_member.entry(host.clone()).or_default();
     if let Err(at) = ids.binary_search(id) {
         ids.insert(at, id.clone());
     }
--- a/crates/fleet/src/planner/ready.rs
+++ b/crates/fleet/src/planner/ready.rs
@@ -10,7 +10,7 @@
 
 use crate::catalog::ModelSpec;
 use crate::host::Host;
-use crate::planner::choose::{STAGE_PATIENCE, View};
+use crate::planner::choose::{STAGE_TIMEOUT_FACTOR, ServiceView};
 use crate::planner::formation::{Formation, Purpose};
 use crate::planner::{Command, Order, Planner};
 
@@ -18,7 +18,7 @@
     /// Has a host load a model beside what it does, unless it does so already.
     pub(super) fn stage(
         &mut self,
-        view: &View<'_>,
+        view: &ServiceView<'_>,
         host: &Host,
         model: &ModelSpec,
         commands: &mut Vec<Command>,
@@ -27,10 +27,10 @@
             .staging
             .get(&host.id)
             .is_some_and(|(_, until)| view.now < *until);
-        if busy || self.holds(host, model) || !self.take_loads(1, view) {
+        if busy || self.has_weights(host, model) || !self.reserve_loads(1, view) {
             return;
         }
-        let until = view.now + model.load_time * STAGE_PATIENCE;
+        let until = view.now + model.load_time * STAGE_TIMEOUT_FACTOR;
         self.staging
             .insert(host.id.clone(), (model.name.clone(), until));
         commands.push(Command::Order {
@@ -46,7 +46,7 @@
     ///
     /// Beyond a number of loads at once the weight store makes each take longer: twenty at
     /// once end after 40 s, the first eight of them after 16 s when the others wait.
-    pub(super) fn loads_under_way(&self, view: &View<'_>) -> usize {
+    pub(super) fn loads_in_progress(&self, view: &ServiceView<'_>) -> usize {
         let is_loading = |(_, until): &&(ModelName, Instant)| view.now < *until;
         self.staging.values().filter(is_loading).count()
     }
@@ -55,7 +55,7 @@
     ///
     /// The weight store serves a bounded number of loads, and each one beyond makes all
     /// slower, so that spares loading at once would delay the replica that waits.
-    pub(super) fn take_loads(&mut self, count: usize, view: &View<'_>) -> bool {
+    pub(super) fn reserve_loads(&mut self, count: usize, view: &ServiceView<'_>) -> bool {
         if count == 0 {
             return true;
         }
@@ -66,7 +66,7 @@
         }
         let permitted = view.engine.loads_per_ks as f64 / 1000.0 * window.as_secs_f64();
         // What a planner before this one began in the window isn't known.
-        let before = self.term > 1 && now.saturating_duration_since(self.began) < window;
+        let before = self.term > 1 && now.saturating_duration_since(self.started_at) < window;
         if !view.cold && (before || (self.loads.len() + count) as f64 > permitted) {
             return false;
         }
@@ -80,7 +80,7 @@
     /// its memory holds by now.
     pub(super) fn prime_spare(
         &mut self,
-        view: &View<'_>,
+        view: &ServiceView<'_>,
         unbound: &[&Host],
         host: &Host,
         commands: &mut Vec<Command>,
@@ -88,10 +88,10 @@
         if self.primed_model(host).is_some() {
             return;
         }
-        let Some(model) = self.model_to_prime(view, unbound, host) else {
+        let Some(model) = self.choose_model_to_prime(view, unbound, host) else {
             return;
         };
-        if self.holds(host, model) || view.cold {
+        if self.has_weights(host, model) || view.cold {
             self.prime(view, host, model);
         } else {
             self.stage(view, host, model, commands);
@@ -106,7 +106,7 @@
     /// weight store's loads are under way, are left alone: what is missing loads first.
     pub(super) fn stage_spares(
         &mut self,
-        view: &View<'_>,
+        view: &ServiceView<'_>,
         fabric: &FabricDomain,
         free: &[&Host],
         commands: &mut Vec<Command>,
@@ -120,7 +120,7 @@
             return;
         }
         for host in spares {
-            if !view.cold && self.loads_under_way(view) * 2 >= view.engine.max_concurrent_loads {
+            if !view.cold && self.loads_in_progress(view) * 2 >= view.engine.max_concurrent_loads {
                 return;
             }
             let primed = self.primed_model(host);
@@ -133,7 +133,8 @@
             if others().any(|m| host.staged.contains(&m.name)) {
                 continue;
             }
-            let members = |m: &&ModelSpec| m.size * self.serving(view, m, Some(fabric)).max(1);
+            let members =
+                |m: &&ModelSpec| m.size * self.serving_count(view, m, Some(fabric)).max(1);
             if let Some(model) = others().max_by_key(members) {
                 self.stage(view, host, model, commands);
             }
@@ -141,12 +142,12 @@
     }
 
     /// Has a spare join a replica of its own.
-    fn prime(&mut self, view: &View<'_>, host: &Host, model: &ModelSpec) {
+    fn prime(&mut self, view: &ServiceView<'_>, host: &Host, model: &ModelSpec) {
         if self.formation_of(&host.id).is_some() {
             return;
         }
-        let loads = usize::from(!self.holds(host, model));
-        if !self.take_loads(loads, view) {
+        let loads = usize::from(!self.has_weights(host, model));
+        if !self.reserve_loads(loads, view) {
             return;
         }
         let (id, epoch) = self.next_formation();
@@ -158,15 +159,15 @@
     }
 
     /// The model with the most members in this domain for each spare that could replace one.
-    fn model_to_prime<'e>(
+    fn choose_model_to_prime<'e>(
         &self,
-        view: &View<'e>,
+        view: &ServiceView<'e>,
         unbound: &[&Host],
         host: &Host,
     ) -> Option<&'e ModelSpec> {
         let spares = self.spares(unbound);
         let need = |m: &ModelSpec| {
-            let members = m.size * self.serving(view, m, Some(&host.fabric)).max(1);
+            let members = m.size * self.serving_count(view, m, Some(&host.fabric)).max(1);
             let ready = spares.iter().filter(|s| **s == m.name).count();
             let staged = if host.staged.contains(&m.name) {
                 1.5
--- a/crates/fleet/src/planner/rejecting.rs
+++ b/crates/fleet/src/planner/rejecting.rs
@@ -6,73 +6,77 @@
 use eelgrassmill_base::HostId;
 
 use crate::planner::Planner;
-use crate::planner::advance::Moment;
+use crate::planner::advance::PlanInput;
 use crate::planner::formation::{Formation, FormationPhase};
 
 /// How long a head rejects requests before its replica is formed anew: heads that are only
 /// full for a moment must not be given up.
-const MIN_REJECTING: Duration = Duration::from_millis(700);
+const MIN_REJECTING_TIME: Duration = Duration::from_millis(700);
 /// A head that was not reported for this long has accepted requests since.
-const REPORT_GAP: Duration = Duration::from_secs(1);
+const MAX_REPORT_GAP: Duration = Duration::from_secs(1);
 /// How long a host that rejected requests is no head while there are other members.
-const UNFIT_PERIOD: Duration = Duration::from_secs(10);
+const UNFIT_HEAD_PERIOD: Duration = Duration::from_secs(10);
 
 /// Hosts that reject requests, as schedulers report them.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RejectingHosts {
-    hosts: BTreeMap<HostId, Span>,
+    hosts: BTreeMap<HostId, RejectionSpan>,
 }
 
 /// When a host was first and last reported without a gap.
 #[derive(Clone, Copy, Debug)]
-struct Span {
+struct RejectionSpan {
     first: Instant,
     last: Instant,
 }
 
 impl RejectingHosts {
-    fn reported(&mut self, host: &HostId, now: Instant) {
+    fn record(&mut self, host: &HostId, now: Instant) {
         let known = self.hosts.get(host).copied();
-        let unbroken = known.filter(|s| now.saturating_duration_since(s.last) < REPORT_GAP);
+        let unbroken = known.filter(|s| now.saturating_duration_since(s.last) < MAX_REPORT_GAP);
         let first = unbroken.map_or(now, |s| s.first);
-        self.hosts.insert(host.clone(), Span { first, last: now });
+        self.hosts
+            .insert(host.clone(), RejectionSpan { first, last: now });
     }
 
-    pub(super) fn forget_old(&mut self, now: Instant) {
+    pub(super) fn remove_expired(&mut self, now: Instant) {
         self.hosts
-            .retain(|_, s| now.saturating_duration_since(s.last) < UNFIT_PERIOD);
+            .retain(|_, s| now.saturating_duration_since(s.last) < UNFIT_HEAD_PERIOD);
     }
 
     /// Whether a host has rejected requests for so long that it should be no head.
-    pub(super) fn is_unfit(&self, host: &str) -> bool {
+    pub(super) fn is_unfit_head(&self, host: &str) -> bool {
         let span = self.hosts.get(host);
-        span.is_some_and(|s| s.last.saturating_duration_since(s.first) >= MIN_REJECTING)
+        span.is_some_and(|s| s.last.saturating_duration_since(s.first) >= MIN_REJECTING_TIME)
     }
 
     fn rejects_now(&self, host: &str, now: Instant) -> bool {
         let span = self.hosts.get(host);
-        let recent = span.is_some_and(|s| now.saturating_duration_since(s.last) < REPORT_GAP);
-        recent && self.is_unfit(host)
+        let recent = span.is_some_and(|s| now.saturating_duration_since(s.last) < MAX_REPORT_GAP);
+        recent && self.is_unfit_head(host)
     }
 }
 
 impl Planner {
     /// Notes that a head rejects all requests although it has room.
     pub fn on_head_rejecting(&mut self, head: &HostId, now: Instant) {
-        self.rejecting.reported(head, now);
+        self.rejecting.record(head, now);
     }
 
     /// Whether a replica should be formed anew with another head.
     ///
     /// One at a time in a fabric domain: where heads reject for a reason that all share, the
     /// others go on with what they accept.
-    pub(super) fn needs_another_head(&self, f: &Formation, at: &Moment<'_>) -> bool {
-        let Some(head) = f.head().filter(|h| self.rejecting.rejects_now(h, at.now)) else {
+    pub(super) fn needs_another_head(&self, f: &Formation, input: &PlanInput<'_>) -> bool {
+        let Some(head) = f
+            .head()
+            .filter(|h| self.rejecting.rejects_now(h, input.now))
+        else {
             return false;
         };
         let mut others = f.members.iter().filter(|m| *m != head);
         let is_fit =
-            |m: &HostId| !self.rejecting.is_unfit(m) && self.is_lost(m, at.fleet).is_none();
+            |m: &HostId| !self.rejecting.is_unfit_head(m) && self.loss_of(m, input.fleet).is_none();
         let given_up = |o: &Formation| {
             o.fabric == f.fabric
                 && matches!(
--- a/crates/fleet/src/planner/send.rs
+++ b/crates/fleet/src/planner/send.rs
@@ -13,14 +13,14 @@
 
 /// Most hosts that are asked in one step because nothing is known of them. Answers wake the
 /// planner within milliseconds, so 900 hosts take well under a second.
-const UNKNOWN_PER_STEP: usize = 64;
+const MAX_UNKNOWN_QUERIES: usize = 64;
 
 impl Planner {
     pub(super) fn order_to_leave(
         &mut self,
         f: &Formation,
         member: &HostId,
-        every: Duration,
+        interval: Duration,
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
@@ -28,7 +28,7 @@
             replica: f.id.clone(),
             epoch: f.epoch,
         };
-        self.send_every(leave, f, member, every, now, commands);
+        self.send_at_interval(leave, f, member, interval, now, commands);
     }
 
     /// Orders a host to join, once it is sure that this tears no other replica apart.
@@ -39,8 +39,8 @@
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
-        if self.must_be_asked(&host.id, now) {
-            self.ask(&host.id, now, commands);
+        if self.must_query_first(&host.id, now) {
+            self.query(&host.id, now, commands);
             return;
         }
         let other = host.membership.as_ref().filter(|_| !f.is_member(host));
@@ -63,22 +63,22 @@
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
-        self.send_every(order, f, host, self.timing.resend_interval, now, commands);
+        self.send_at_interval(order, f, host, self.timing.resend_interval, now, commands);
     }
 
-    pub(super) fn send_every(
+    pub(super) fn send_at_interval(
         &mut self,
         order: Order,
         f: &Formation,
         host: &HostId,
-        every: Duration,
+        interval: Duration,
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
         let Some(info) = f.member_info.get(host) else {
             return;
         };
-        if self.claim(host, order.kind(), f.epoch, every, now) {
+        if self.should_send(host, order.kind(), f.epoch, interval, now) {
             let address = info.address.clone();
             commands.push(Command::Order {
                 host: host.clone(),
@@ -88,14 +88,14 @@
         }
     }
 
-    pub(super) fn ask(&mut self, host: &HostId, now: Instant, commands: &mut Vec<Command>) {
-        if self.claim(host, MessageKind::Query, 0, self.timing.query_interval, now) {
+    pub(super) fn query(&mut self, host: &HostId, now: Instant, commands: &mut Vec<Command>) {
+        if self.should_send(host, MessageKind::Query, 0, self.timing.query_interval, now) {
             commands.push(Command::Query { host: host.clone() });
         }
     }
 
     /// Asks hosts that could join something if this planner knew what they belong to.
-    pub(super) fn ask_unknown(
+    pub(super) fn query_unknown(
         &mut self,
         fleet: &Fleet,
         services: &[&Service],
@@ -107,34 +107,46 @@
             service.is_some_and(|s| s.engine.is_some())
         };
         let unknown = |h: &&Host| {
-            h.is_ready() && !self.knows(h) && !self.silent.contains_key(&h.id) && forms(h)
+            h.is_ready()
+                && !self.knows_membership(h)
+                && !self.silent.contains_key(&h.id)
+                && forms(h)
         };
-        let hosts = fleet.hosts().filter(unknown).take(UNKNOWN_PER_STEP);
+        let hosts = fleet.hosts().filter(unknown).take(MAX_UNKNOWN_QUERIES);
         for host in hosts.map(|h| h.id.clone()).collect::<Vec<_>>() {
-            self.ask(&host, now, commands);
+            self.query(&host, now, commands);
         }
     }
 
     /// Asks hosts that left an order unanswered, until they answer or count as silent.
-    pub(super) fn ask_doubtful(
+    pub(super) fn query_pending(
         &mut self,
         fleet: &Fleet,
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
-        self.doubtful.retain(|id| !self.silent.contains_key(id));
-        let listed = self.doubtful.iter().filter(|id| fleet.host(id).is_some());
+        self.pending_queries
+            .retain(|id| !self.silent.contains_key(id));
+        let listed = self
+            .pending_queries
+            .iter()
+            .filter(|id| fleet.host(id).is_some());
         for host in listed.cloned().collect::<Vec<_>>() {
-            self.ask(&host, now, commands);
+            self.query(&host, now, commands);
         }
     }
 
     /// Asks silent hosts that are still listed: one that was only cut off must not be
     /// lost as a spare.
-    pub(super) fn ask_silent(&mut self, fleet: &Fleet, now: Instant, commands: &mut Vec<Command>) {
+    pub(super) fn query_silent(
+        &mut self,
+        fleet: &Fleet,
+        now: Instant,
+        commands: &mut Vec<Command>,
+    ) {
         let listed = self.silent.keys().filter(|id| fleet.host(id).is_some());
         for host in listed.cloned().collect::<Vec<_>>() {
-            if self.claim(
+            if self.should_send(
                 &host,
                 MessageKind::Query,
                 0,
@@ -150,17 +162,17 @@
     ///
     /// An answer alone is no reason: each wakes the planner, which would send the order
     /// again at once for as long as the host's entry lags behind.
-    pub(super) fn claim(
+    pub(super) fn should_send(
         &mut self,
         host: &HostId,
         kind: MessageKind,
         epoch: Epoch,
-        every: Duration,
+        interval: Duration,
         now: Instant,
     ) -> bool {
         let key = (host.clone(), kind, epoch);
         let last = self.sent.get(&key);
-        if last.is_some_and(|last| now.saturating_duration_since(*last) < every) {
+        if last.is_some_and(|last| now.saturating_duration_since(*last) < interval) {
             return false;
         }
         self.sent.insert(key, now);
--- a/crates/fleet/src/targets.rs
+++ b/crates/fleet/src/targets.rs
@@ -32,7 +32,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct TargetStat {
     running: usize,
-    failing_permille: u32,
+    failure_permille: u32,
     /// When a request last ended.
     ended: Option<Instant>,
 }
@@ -55,7 +55,7 @@
             0
         };
         let before = stat.failing_at(now);
-        stat.failing_permille = (before * (FAILURE_MEMORY - 1) + newest) / FAILURE_MEMORY;
+        stat.failure_permille = (before * (FAILURE_MEMORY - 1) + newest) / FAILURE_MEMORY;
         stat.ended = Some(now);
     }
 
@@ -70,6 +70,6 @@
     fn failing_at(&self, now: Instant) -> u32 {
         let age = self.ended.map(|at| now.saturating_duration_since(at));
         let left = age.map_or(0.0, |age| 1.0 - age.div_duration_f64(FAILURE_TTL));
-        (f64::from(self.failing_permille) * left.max(0.0)) as u32
+        (f64::from(self.failure_permille) * left.max(0.0)) as u32
     }
 }
--- a/crates/fleet/tests/policy.rs
+++ b/crates/fleet/tests/policy.rs
@@ -120,13 +120,13 @@
     expect_that!(gone, elements_are![eq("a")]);
 }
 
-fn candidate(name: &str, load: usize, near: bool, failing_permille: u32) -> HostCandidate {
+fn candidate(name: &str, load: usize, same_domain: bool, failure_permille: u32) -> HostCandidate {
     HostCandidate {
         host: name.into(),
         load,
         slots: 26,
-        same_domain: near,
-        failure_permille: failing_permille,
+        same_domain,
+        failure_permille,
     }
 }
 
@@ -295,13 +295,13 @@
         let candidates: Vec<HostCandidate> = hosts
             .iter()
             .map(|host| {
-                let (load, failing_permille) = stats.load_and_failures(host, now);
+                let (load, failure_permille) = stats.load_and_failures(host, now);
                 HostCandidate {
                     host: host.clone(),
                     load,
                     slots: 6,
                     same_domain: true,
-                    failure_permille: failing_permille,
+                    failure_permille,
                 }
             })
             .collect();
--- a/crates/fleet/tests/schedule.rs
+++ b/crates/fleet/tests/schedule.rs
@@ -64,11 +64,11 @@
     }
 }
 
-fn ask(number: u64, prompt: u64, now: Instant) -> PendingRequest {
+fn ask(number: u64, prompt_tokens: u64, now: Instant) -> PendingRequest {
     PendingRequest {
         key: key(number),
         failure_domain: "z1".into(),
-        prompt_tokens: prompt,
+        prompt_tokens,
         resumed: false,
         urgency: 1,
         on_time_until: now + AIM,
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -193,13 +193,13 @@
         .hosts()
         .filter(usable)
         .map(|h| {
-            let (load, failing_permille) = stats.load_and_failures(&h.id, now);
+            let (load, failure_permille) = stats.load_and_failures(&h.id, now);
             HostCandidate {
                 host: h.id.clone(),
                 load,
                 slots: h.slots,
                 same_domain: h.failure_domain == core.cfg.failure_domain,
-                failure_permille: failing_permille,
+                failure_permille,
             }
         })
         .collect();
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -222,13 +222,13 @@
 }
 
 fn updated(known: Host, report: HostReport) -> Host {
-    let born_ms = if report.born_ms > 0 {
+    let started_ms = if report.born_ms > 0 {
         report.born_ms
     } else {
         known.started_ms
     };
     Host {
-        started_ms: born_ms,
+        started_ms,
         staged: report.staged,
         membership: report.membership,
         ..known
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -209,9 +209,9 @@
 fn speed<P: Platform>(core: &Core<P>, scope: &Scope) -> Option<EngineSpeed> {
     let catalog = core.catalog();
     let (engine, model) = catalog.model(&scope.service, &scope.model)?;
-    let pace = Millionths::of(engine.speed.time_factor.get() * model.time_factor.get());
+    let time_factor = Millionths::of(engine.speed.time_factor.get() * model.time_factor.get());
     Some(EngineSpeed {
-        time_factor: pace,
+        time_factor,
         ..engine.speed
     })
 }
