--- a/crates/fleet/src/cold.rs
+++ b/crates/fleet/src/cold.rs
@@ -1,9 +1,10 @@
-//! Hosts that are cold: for some seconds after a start they are slow, and crash under many requests.
+//! Hosts that are cold: for some seconds after a start they are slow, and crash under many
+//! requests.
 //!
-//! Sized for a failure domain whose hosts all come back at once beside full traffic. All nodes share
-//! the bound on a cold host's request rate. A scheduler, which assigns all requests of a head,
-//! counts its grants ([`GrantWindow`]); a node that chooses hosts by itself takes its part of the
-//! bound ([`ColdRateLimiter`]).
+//! Sized for a failure domain whose hosts all come back at once beside full traffic. All nodes
+//! share the bound on a cold host's request rate. A scheduler, which assigns all requests of a
+//! head, counts its grants ([`GrantWindow`]); a node that chooses hosts by itself takes its part of
+//! the bound ([`ColdRateLimiter`]).
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -12,27 +13,27 @@
 
 use crate::catalog::Millionths;
 
-/// Any span of this length counts for the bound on a cold host's requests.
+/// Sliding window of the limit on a cold host's requests.
 const WINDOW: Duration = Duration::from_secs(1);
-/// The part of the bound that nodes without a scheduler use together. Each draws by chance, so that
-/// their sum varies.
+/// Fraction of the limit that all nodes without a scheduler use together. They send independently,
+/// so their total varies.
 const SHARED_RATIO: f64 = 0.5;
-/// The part of the bound that a scheduler uses in its first [`WINDOW`]: the one before it may have
-/// used all of it just then.
+/// Fraction of the limit that a scheduler uses in its first [`WINDOW`], since the previous
+/// scheduler may have used all of it just before.
 const SUCCESSOR_RATIO: f64 = 0.5;
 
 value! { copy
-    /// What holds for a service's hosts after a start.
+    /// Limits of a service's hosts after a start.
     pub struct ColdStart {
         /// How long they are cold.
         pub duration: Duration,
-        /// Requests a second that one can take meanwhile.
+        /// Requests per second that a cold host can handle.
         pub max_rate: Millionths,
     }
 }
 
 impl ColdStart {
-    /// Requests that a scheduler may send to one host within any second.
+    /// Requests that a scheduler may send to one host within [`WINDOW`].
     pub(crate) fn grants(&self, began: Instant, now: Instant) -> usize {
         let is_successor = now.saturating_duration_since(began) < WINDOW;
         let ratio = if is_successor { SUCCESSOR_RATIO } else { 1.0 };
@@ -40,10 +41,10 @@
     }
 }
 
-/// When a head got its last requests.
+/// Times of a head's recent grants.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct GrantWindow {
-    /// Invariant: in order; those older than [`WINDOW`] go with the next grant.
+    /// Invariant: sorted; those older than [`WINDOW`] are removed at the next grant.
     grants: VecDeque<Instant>,
 }
 
@@ -53,7 +54,7 @@
         self.grants.push_back(now);
     }
 
-    /// Grants within the last second.
+    /// Number of grants within [`WINDOW`].
     pub(crate) fn count(&self, now: Instant) -> usize {
         let recent = self.grants.iter().rev();
         recent.take_while(|at| !is_over(**at, now)).count()
@@ -64,18 +65,18 @@
     now.saturating_duration_since(at) >= WINDOW
 }
 
-/// One node's part of the request rates of cold hosts: a token bucket for each, of one token.
+/// One node's share of the request rates of cold hosts: a token bucket of size one per host.
 #[derive(Clone, Debug, Default)]
 pub struct ColdRateLimiter {
-    /// Tokens by host, as of an instant.
+    /// Tokens by host, and when they were last updated.
     tokens: BTreeMap<HostId, (f64, Instant)>,
 }
 
 impl ColdRateLimiter {
-    /// Whether this node, one of `nodes`, may send a cold host a request now.
+    /// Whether this node, one of `nodes`, may send a request to a cold host now.
     ///
-    /// `draw` is any number from 0 up to 1, with which a host's bucket begins; nodes must not draw
-    /// the same.
+    /// `draw` is the initial fill of a host's bucket: a random number in [0, 1), drawn
+    /// independently by each node.
     pub fn may_send(
         &mut self,
         host: &HostId,
@@ -92,14 +93,15 @@
         *tokens >= 1.0
     }
 
-    /// Notes that a request was sent to a cold host.
+    /// Records that a request was sent to a cold host.
     pub fn on_sent(&mut self, host: &HostId) {
         if let Some((tokens, _)) = self.tokens.get_mut(host) {
             *tokens -= 1.0;
         }
     }
 
-    /// Forgets hosts that can't be cold any more: no request was considered for them for that long.
+    /// Removes hosts that can't be cold any more, since no request was considered for them for the
+    /// whole duration.
     pub fn remove_warm(&mut self, cold: &ColdStart, now: Instant) {
         let asked = |at: &Instant| now.saturating_duration_since(*at) < cold.duration;
         self.tokens.retain(|_, (_, at)| asked(at));
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What is known of all hosts.
+//! Known state of all hosts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -9,29 +9,29 @@
 use crate::cold::ColdStart;
 use crate::host::Host;
 
-/// How long a host whose entry vanished during an outage of the store is kept after the
-/// store is back. The platform promises that live hosts are listed again within about 2 s.
+/// How long hosts that are missing after a store outage are kept once the store is back. The
+/// platform guarantees that live hosts are listed again within about 2 s.
 const RELIST_TIME: Duration = Duration::from_millis(2000);
 
 value! { wire
-    /// A change of the host list.
+    /// A change to the host list.
     pub enum FleetChange {
-        /// A host's entry is new or has changed.
+        /// A host's entry was added or changed.
         Put(Box<Host>),
-        /// A host's entry is gone.
+        /// A host's entry was removed.
         Removed(HostId),
-        /// The whole list was read anew; whoever isn't in it is gone.
+        /// The full list; hosts that are not in it are gone.
         Snapshot(Vec<Host>),
     }
 
-    /// A change of the failure domains whose hosts are to take nothing new.
+    /// A change to the set of evacuated failure domains, whose hosts take no new requests.
     pub enum EvacuationChange {
-        /// The operator evacuates a failure domain.
+        /// The operator evacuated a failure domain.
         Evacuated(FailureDomain),
-        /// The operator cancels the evacuation.
+        /// The operator cancelled the evacuation.
         #[serde(rename = "TakenBack")]
         Cancelled(FailureDomain),
-        /// All that are evacuated; the others are taken back.
+        /// All evacuated failure domains; evacuations of others are cancelled.
         Snapshot(BTreeSet<FailureDomain>),
     }
 }
@@ -41,29 +41,29 @@
     pub struct Replica {
         /// Its name.
         pub id: GroupId,
-        /// Its formation.
+        /// Epoch of its formation.
         pub epoch: Epoch,
-        /// Members that are listed, by rank.
+        /// Listed members, by rank.
         pub members: SmallVec<[(usize, HostId); 8]>,
     }
 }
 
-/// The hosts that are listed, and those that are kept although they aren't.
+/// The listed hosts, and unlisted ones that are kept after a store outage.
 #[derive(Clone, Debug, Default)]
 pub struct Fleet {
     hosts: BTreeMap<HostId, Host>,
-    /// Hosts whose entries vanished while the store was disturbed.
+    /// Hosts whose entries went missing during or just after a store outage.
     missing: BTreeSet<HostId>,
-    /// What the list last showed of hosts that have told something newer themselves.
-    /// Invariant: these hosts are in `hosts`.
+    /// Last listed entries of hosts whose own reports are newer. Invariant: these hosts are in
+    /// `hosts`.
     outdated: BTreeMap<HostId, Host>,
-    /// Failure domains whose hosts take nothing new; `None` until the operator's list was read.
+    /// Evacuated failure domains; `None` until the operator's list was read.
     evacuated: Option<BTreeSet<FailureDomain>>,
-    /// When failure domains were taken back: their hosts may have become cold meanwhile.
+    /// When the evacuation of failure domains ended: their hosts may have become cold meanwhile.
     taken_back: BTreeMap<FailureDomain, Instant>,
-    /// Until when hosts are cold by their entries.
+    /// Until when hosts are cold according to their entries.
     cold_until: BTreeMap<HostId, Instant>,
-    /// Until then a host that isn't listed may only have lapsed.
+    /// End of the grace period in which missing hosts are kept.
     lenient_until: Option<Instant>,
     loaded: bool,
 }
@@ -74,12 +74,12 @@
         self.loaded
     }
 
-    /// Whether it is known which failure domains are evacuated.
+    /// Whether the set of evacuated failure domains is known.
     pub fn knows_evacuations(&self) -> bool {
         self.evacuated.is_some()
     }
 
-    /// The failure domains that are evacuated.
+    /// The evacuated failure domains.
     pub fn evacuated(&self) -> impl Iterator<Item = &FailureDomain> {
         self.evacuated.iter().flatten()
     }
@@ -90,7 +90,7 @@
         host.is_ready() && !is_evacuated
     }
 
-    /// Takes a change of the evacuated failure domains. Whether it changed anything.
+    /// Applies a change to the evacuated failure domains; returns whether it had any effect.
     pub fn apply_evacuation(&mut self, change: EvacuationChange, now: Instant) -> bool {
         let before = self.evacuated.clone();
         let known = self.evacuated.get_or_insert_default();
@@ -109,7 +109,7 @@
         self.evacuated != before
     }
 
-    /// Until when a host counts as cold; `None` if nothing says that it is.
+    /// Until when a host counts as cold; `None` if it isn't known to be cold.
     pub fn cold_until(&self, host: &Host, cold: &ColdStart) -> Option<Instant> {
         let own = self.cold_until.get(&host.id).copied();
         let back = self.taken_back.get(&host.failure_domain);
@@ -126,7 +126,7 @@
         self.hosts.get(id)
     }
 
-    /// The entries as the list last showed them, without what hosts said of themselves later.
+    /// The entries as last listed, ignoring newer reports of the hosts themselves.
     pub fn listed(&self) -> impl Iterator<Item = &Host> {
         let listed = self
             .hosts
@@ -135,15 +135,15 @@
         listed.map(|h| self.outdated.get(&h.id).unwrap_or(h))
     }
 
-    /// Notes that the store could not be reached or refused at `now`.
+    /// Records that the store was unreachable or rejected a request at `now`.
     ///
-    /// Entries lapse while hosts can't write them, so the first lists after an outage
-    /// lack hosts that are well. Without this every group would be given up at once.
+    /// Entries expire while hosts can't write them, so the first lists after an outage lack healthy
+    /// hosts. Without the grace period that this starts, all replicas would be dissolved at once.
     pub fn on_store_failure(&mut self, now: Instant) {
         self.lenient_until = Some(now + RELIST_TIME);
     }
 
-    /// Takes a change. Gives the hosts that are gone.
+    /// Applies a change and returns the hosts that are gone.
     pub fn apply(&mut self, change: FleetChange, now: Instant) -> Vec<HostId> {
         match change {
             FleetChange::Put(host) => {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Drops hosts that were kept and are still missing. Gives those that are gone.
+    /// Removes hosts that are still missing after the grace period, and returns them.
     pub fn expire(&mut self, now: Instant) -> Vec<HostId> {
         if self.missing.is_empty() || self.is_lenient(now) {
             return Vec::new();
@@ -169,7 +169,7 @@
         gone.into_iter().collect()
     }
 
-    /// Takes a host's own word, which is newer than its entry.
+    /// Applies a host's own report, which is newer than its entry.
     pub fn apply_report(&mut self, host: Host) {
         if let Some(known) = self.hosts.get_mut(&host.id) {
             let listed = std::mem::replace(known, host);
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Takes a host's word that it left a formation.
+    /// Applies a host's confirmation that it left a formation.
     pub fn clear_membership(&mut self, id: &str, replica: &str, epoch: Epoch) {
         let known = self.hosts.get(id);
         let member = known.filter(|h| h.belongs_to(replica, epoch)).cloned();
@@ -189,12 +189,11 @@
         }
     }
 
-    /// Takes an entry of the list read anew, unless it only repeats what a host's own word
-    /// has made outdated.
+    /// Applies an entry of a full list, unless it only repeats an entry that the host's own report
+    /// supersedes.
     ///
-    /// A host that can't reach the store keeps its entry of before for seconds. Each time
-    /// the list was read anew, its replica would seem to have lost a member and be given
-    /// up, though it serves.
+    /// A host that can't reach the store keeps its stale entry for seconds. Each time the list was
+    /// read, its replica would seem to have lost a member and be dissolved while it serves.
     fn put_again(&mut self, entry: Host, now: Instant) {
         self.missing.remove(&entry.id);
         if self.outdated.get(&entry.id) == Some(&entry) {
@@ -223,7 +222,7 @@
         self.outdated.remove(id);
     }
 
-    /// The replicas that hosts report, each with the members that are listed.
+    /// The replicas that hosts report, each with its listed members.
     pub fn replicas(&self) -> Vec<Replica> {
         let mut found: BTreeMap<(GroupId, Epoch), Replica> = BTreeMap::new();
         for host in self.hosts.values() {
--- a/crates/fleet/src/host.rs
+++ b/crates/fleet/src/host.rs
@@ -1,4 +1,4 @@
-//! One host, as it reports itself.
+//! State of one host, as it reports itself.
 
 use eelgrassmill_base::{
     Epoch, FabricDomain, FailureDomain, GroupId, HostId, ModelName, ServiceName, value,
@@ -7,76 +7,76 @@
 use smol_str::SmolStr;
 
 value! { wire copy
-    /// Whether a host takes new work.
+    /// Whether a host accepts new work.
     pub enum HostState {
-        /// It does.
-        Ready,
-        /// It finishes what it has and goes.
+    /// It accepts new work.
+    Ready,
+    /// It finishes its work and shuts down.
         Leaving,
     }
 
-    /// How far a host's part in a replica is.
+    /// Phase of a host's membership in a replica.
     pub enum MembershipPhase {
-        /// It loads what it needs.
+        /// The host loads what it needs.
         Joining,
-        /// It has joined; the replica serves nothing yet.
+        /// The host has joined; the replica doesn't serve yet.
         Ready,
-        /// The head serves.
+        /// The head serves requests.
         Open,
-        /// The head finishes what runs.
+        /// The head finishes running requests.
         Closing,
-        /// A member was lost and the head refuses everything.
+        /// A member was lost and the head rejects all requests.
         Broken,
     }
 }
 
 value! { wire
-    /// A host's part in a replica.
+    /// A host's membership in a replica.
     pub struct Membership {
         /// The replica.
         pub replica: GroupId,
-        /// The formation of the replica that it joined.
+        /// The epoch of the formation that the host joined.
         pub epoch: Epoch,
-        /// Its place in the list of members; 0 is the head, which takes the requests.
+        /// Its index in the list of members; 0 is the head, which receives the requests.
         pub rank: usize,
-        /// How far it is.
+        /// Its phase.
         pub phase: MembershipPhase,
     }
 
-    /// What a host says of itself.
+    /// State that a host reports.
     pub struct Host {
         /// Its name.
         pub id: HostId,
-        /// Milliseconds since 1970 at its start, by its own clock. A host that starts
-        /// again under its name has forgotten its membership.
+        /// Its start time in milliseconds since the Unix epoch, by its own clock. A host that
+        /// restarts under the same name has lost its membership.
         #[serde(rename = "born_ms")]
         pub started_ms: u64,
-        /// The service that it runs.
+        /// Its service.
         pub service: ServiceName,
         /// `IP:PORT` for requests and orders.
         pub address: SmolStr,
         /// Its failure domain.
         pub failure_domain: FailureDomain,
-        /// Its fabric domain; empty for hosts that form no replicas.
+        /// Its fabric domain; empty if it forms no replicas.
         pub fabric: FabricDomain,
-        /// Whether it takes new work.
+        /// Whether it accepts new work.
         pub state: HostState,
-        /// Requests that it runs at once.
+        /// Maximum number of concurrent requests.
         pub slots: usize,
-        /// For how much longer it is cold, in milliseconds, as of when it wrote its entry.
+        /// Remaining time for which it is cold, in milliseconds, when it wrote its entry.
         pub cold_ms: u64,
         /// Models whose weights are in its memory.
         pub staged: SmallVec<[ModelName; 2]>,
-        /// The model that it last joined a replica of, where it says so.
+        /// The model of the replica that it last joined, if reported.
         pub model: Option<ModelName>,
-        /// The replica that it is a member of.
+        /// Its membership in a replica.
         pub membership: Option<Membership>,
     }
 }
 
 impl Membership {
-    /// Whether the replica may have requests that run. A head knows that of itself; any
-    /// other member's head may serve whatever the member knows.
+    /// Whether the replica may have running requests. Only the head knows; for any other member,
+    /// the head may be serving whatever the member's phase is.
     pub(crate) fn may_serve(&self) -> bool {
         let serves = matches!(self.phase, MembershipPhase::Open | MembershipPhase::Closing);
         self.rank > 0 || serves
@@ -84,18 +84,18 @@
 }
 
 impl Host {
-    /// Whether it takes new work.
+    /// Whether it accepts new work.
     pub fn is_ready(&self) -> bool {
         self.state == HostState::Ready
     }
 
-    /// Whether it is the head of a replica that serves.
+    /// Whether it is the head of an open replica.
     pub fn is_open_head(&self) -> bool {
         let open = |m: &Membership| m.rank == 0 && m.phase == MembershipPhase::Open;
         self.membership.as_ref().is_some_and(open)
     }
 
-    /// Whether it reports to belong to this formation.
+    /// Whether it reports membership in this formation.
     pub fn belongs_to(&self, replica: &str, epoch: Epoch) -> bool {
         let same = |m: &Membership| m.replica == replica && m.epoch == epoch;
         self.membership.as_ref().is_some_and(same)
--- a/crates/fleet/src/lease.rs
+++ b/crates/fleet/src/lease.rs
@@ -1,55 +1,54 @@
-//! For how long the holder of the planner's lease may act.
+//! Validity of the planner's lease at its holder.
 //!
-//! What goes wrong without it: a holder that is cut off from the store and from the other
-//! nodes still reaches hosts. It would go on forming replicas while its successor does,
-//! and each would take hosts from replicas that the other has just opened; epochs don't
-//! prevent that, since a host that is free has seen none of the successor's. Callers would
-//! see streams of sound replicas stand still.
+//! A holder that is partitioned from the store and the other nodes may still reach hosts. Without
+//! this check it would keep forming replicas while its successor does, and each would take hosts
+//! from replicas that the other has just opened. Epochs don't prevent that, since a free host has
+//! seen no epoch of the successor. Callers would see streams of healthy replicas stall.
 
 use std::time::Duration;
 
 use eelgrassmill_base::value;
 
-/// Time since the machine started, with the time for which it was suspended. Steady clocks
-/// leave that out, and a holder would wake with a lease that seems to be fresh.
+/// Time since the machine booted, including suspended time. Monotonic clocks that exclude
+/// suspended time would make a lease look fresh after a resume.
 pub type SinceBoot = Duration;
 
-/// For how long one confirmation by the store counts, from before it was asked for. Two
-/// questions fit in, so that one lost answer ends no term. A successor waits longer than
-/// this before it forms anything: [`crate::PlannerTiming::settle`].
+/// How long a confirmation by the store is valid, counted from before the request was sent. Two
+/// requests fit in, so one lost response doesn't end the term. A successor waits longer than this
+/// before it forms anything: [`crate::PlannerTiming::takeover_delay`].
 pub const LEASE_TERM: Duration = Duration::from_millis(1500);
-/// A holder steps that often that a longer time between two steps means that its process
-/// stood still: fifteen steps.
-const PAUSE: Duration = Duration::from_millis(900);
-/// A holder that isn't sure for this long gives the lease up: one more question to the
-/// store, with the time that it waits for an answer.
-const PATIENCE: Duration = Duration::from_millis(2000);
+/// A longer time between two updates means that the process was stalled or suspended. Fifteen
+/// update intervals.
+const MAX_UPDATE_GAP: Duration = Duration::from_millis(900);
+/// A holder gives up the lease after being unconfirmed for this long: one more request to the
+/// store and its timeout.
+const GIVE_UP_AFTER: Duration = Duration::from_millis(2000);
 
 value! { copy
-    /// What a holder may do.
+    /// What the holder may do.
     pub enum LeaseStatus {
-        /// Plan.
+        /// It may plan.
         Act,
-        /// Nothing, until it is confirmed.
+        /// It must not plan until the lease is confirmed.
         Wait,
-        /// Leave the lease to another node.
+        /// It must release the lease.
         GiveUp,
     }
 }
 
-/// Whether a holder that the store doesn't answer hears enough other nodes to be sure that
-/// none has taken the lease. `silences` are the times since each one was heard, those that
-/// are gone since lately among them.
+/// Whether a holder that can't reach the store hears a majority of nodes, so that no other node
+/// can have taken the lease. `silences` are the times since each other node was last heard,
+/// including nodes that left recently.
 ///
-/// Nodes take the lease only where they hear most others, so that one of those that the
-/// holder hears would know of it. Were all of them needed, one dead node would stop all
-/// repairs while the store is away.
+/// A node takes the lease only if it hears a majority, and two majorities overlap in a node that
+/// the holder hears. If the holder had to hear all nodes, one dead node would stop all repairs
+/// during a store outage.
 pub fn hears_majority(silences: impl Iterator<Item = Duration> + Clone) -> bool {
-    // A node that knows no other can't tell that it is alone from being cut off.
+    // A node that knows no others can't distinguish being alone from being partitioned.
     silences.clone().next().is_some() && is_majority(silences, LEASE_TERM)
 }
 
-/// Whether nodes heard within `time` are, with this one, more than half.
+/// Whether this node and the nodes heard within `time` are more than half of all nodes.
 pub fn is_majority(silences: impl Iterator<Item = Duration>, time: Duration) -> bool {
     let (mut all, mut heard) = (1, 1);
     for silence in silences {
@@ -59,52 +58,54 @@
     heard * 2 > all
 }
 
-/// A holder's right to act.
+/// State of the lease at its holder.
 ///
-/// It is sure of the lease for [`LEASE_TERM`] after the store showed it as the holder, and
-/// while it [hears enough](hears_majority) other nodes. So planning goes on while the store is
-/// away for all.
+/// The lease is valid for [`LEASE_TERM`] after the store confirmed the holder, and while the holder
+/// [hears a majority](hears_majority) of nodes. So planning continues if the store is unavailable
+/// to all nodes.
 #[derive(Clone, Debug)]
 pub struct Lease {
     confirmed: SinceBoot,
-    /// When it woke from a pause that no confirmation has followed yet.
-    paused: Option<SinceBoot>,
-    stepped: SinceBoot,
-    /// Since when it hasn't been sure.
-    unsure: Option<SinceBoot>,
+    /// When the process resumed after a stall, until the store confirms the lease again.
+    resumed_at: Option<SinceBoot>,
+    last_update: SinceBoot,
+    /// Since when the lease has been neither confirmed nor backed by a majority.
+    unconfirmed_since: Option<SinceBoot>,
 }
 
 impl Lease {
-    /// The lease of a holder that asked for the lease at `claimed`.
+    /// Creates the lease of a holder that requested it at `claimed`.
     pub fn new(claimed: SinceBoot) -> Lease {
         Lease {
             confirmed: claimed,
-            paused: None,
-            stepped: claimed,
-            unsure: None,
+            resumed_at: None,
+            last_update: claimed,
+            unconfirmed_since: None,
         }
     }
 
-    /// Notes that the store named the holder, when asked at `asked`.
-    pub fn confirm(&mut self, asked: SinceBoot) {
-        self.confirmed = self.confirmed.max(asked);
-        self.paused.take_if(|woke| *woke <= asked);
+    /// Records that the store named this node as the holder, in reply to a request sent at
+    /// `requested`.
+    pub fn confirm(&mut self, requested: SinceBoot) {
+        self.confirmed = self.confirmed.max(requested);
+        self.resumed_at.take_if(|resumed| *resumed <= requested);
     }
 
-    /// Whether the holder may plan at `now`, when [`hears_majority`] says `heard`.
-    pub fn update(&mut self, now: SinceBoot, heard: bool) -> LeaseStatus {
-        if now.saturating_sub(self.stepped) > PAUSE {
-            // What it heard before it stood still says nothing of now.
-            self.paused = Some(now);
+    /// Updates the lease and returns what the holder may do at `now`. `hears_majority` is the
+    /// result of [`hears_majority`].
+    pub fn update(&mut self, now: SinceBoot, hears_majority: bool) -> LeaseStatus {
+        if now.saturating_sub(self.last_update) > MAX_UPDATE_GAP {
+            // What was heard before the stall is outdated.
+            self.resumed_at = Some(now);
         }
-        self.stepped = now;
+        self.last_update = now;
         let fresh = now.saturating_sub(self.confirmed) < LEASE_TERM;
-        if self.paused.is_none() && (fresh || heard) {
-            self.unsure = None;
+        if self.resumed_at.is_none() && (fresh || hears_majority) {
+            self.unconfirmed_since = None;
             return LeaseStatus::Act;
         }
-        let since = *self.unsure.get_or_insert(now);
-        if now.saturating_sub(since) < PATIENCE {
+        let since = *self.unconfirmed_since.get_or_insert(now);
+        if now.saturating_sub(since) < GIVE_UP_AFTER {
             LeaseStatus::Wait
         } else {
             LeaseStatus::GiveUp
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,10 +1,10 @@
-//! Policy for hosts that obey orders and report what they hold.
+//! Planning, scheduling and load-balancing policy for a fleet of hosts.
 //!
-//! Everything here is pure: it takes events and an instant and returns what to
-//! do. [`Catalog`] is the accepted configuration, [`Fleet`] what is known of
-//! hosts, [`Planner`] decides which hosts form a replica, [`choose_host`] chooses the
-//! host of a request, [`RetryWindow`] bounds what is sent a second time, and [`Lease`]
-//! says for how long a planner may act.
+//! Nothing here does I/O or reads the clock: functions take events and an instant, and return what
+//! to do. [`Catalog`] is the accepted configuration, [`Fleet`] the known state of all hosts,
+//! [`Planner`] decides which hosts form a replica, [`Scheduler`] assigns a model's requests to
+//! replicas, [`choose_host`] balances load over hosts, [`RetryWindow`] limits retries, and
+//! [`Lease`] tells whether a planner may act.
 
 mod catalog;
 mod cold;
--- a/crates/fleet/src/patience.rs
+++ b/crates/fleet/src/patience.rs
@@ -1,28 +1,31 @@
-//! How long callers have been waiting when their requests come.
+//! Estimates how long callers have already been waiting, from their timeouts.
 //!
-//! Sized for bursts and restarts: callers that were rejected or cut off come back, and name as
-//! their timeout what is left of the first one. Taken for new ones, they get the slots of
-//! requests that can still be on time, which are then late in turn.
+//! After a burst or restart, callers that were rejected or disconnected retry, with the rest of
+//! their first timeout as the timeout. Treated as new requests, they would take the slots of
+//! requests that can still be on time and make those late as well.
 
 use std::time::Duration;
 
-/// Classes of the histogram, of equal width.
+/// Buckets of the histogram, of equal width.
 const CLASSES: usize = 64;
-/// Requests that are remembered; once there are twice as many, each counts half.
+/// Once the histogram counts twice this many requests, all counts are halved.
 const MEMORY: f32 = 256.0;
-/// Requests below which [`FIRST_FENCE`] holds.
+/// Number of requests below which [`FIRST_FENCE`] applies.
 const MIN_REQUESTS: f32 = 32.0;
-/// Part of the route's timeout below which a timeout is a remainder, while little is known.
+/// Fraction of the route's timeout below which a timeout is a remainder, until enough requests
+/// were seen.
 const FIRST_FENCE: f64 = 0.8;
-/// Interquartile ranges below the first quartile from which on a timeout is a remainder.
+/// Distance of the outlier fence below the first quartile, in interquartile ranges. A timeout
+/// below the fence is a remainder.
 const FENCE_RANGES: f64 = 1.0;
 
-/// The timeouts that callers name, as parts of their routes' timeouts.
+/// Histogram of the timeouts that callers send, as fractions of their routes' timeouts.
 ///
-/// Callers choose their own. Those that name clearly less than most have named more before.
+/// Callers choose their own timeouts. One that is clearly shorter than most is the remainder of a
+/// longer one.
 #[derive(Clone, Debug)]
 pub struct CallerTimeouts {
-    /// Requests by the part that they name.
+    /// Requests by fraction.
     counts: [f32; CLASSES],
     /// Invariant: the sum of `counts`.
     total: f32,
@@ -38,7 +41,7 @@
 }
 
 impl CallerTimeouts {
-    /// Takes the timeout of a request on a route with the timeout `usual`.
+    /// Records the timeout of a request on a route with the timeout `usual`.
     pub fn on_request(&mut self, named: Duration, usual: Duration) {
         let part = part(named, usual);
         let class = (part * CLASSES as f64) as usize;
@@ -50,8 +53,8 @@
         }
     }
 
-    /// How long ago the caller of a request that names `named` is likely to have sent its first
-    /// attempt; zero for one that may be the first.
+    /// Estimated time since the first attempt of a caller whose request has the timeout `named`;
+    /// zero if this may be the first attempt.
     pub fn since_first_attempt(&self, named: Duration, usual: Duration) -> Duration {
         let part = part(named, usual);
         if part >= self.fence() {
@@ -60,7 +63,7 @@
         usual.mul_f64((self.quantile(0.5) - part).max(0.0))
     }
 
-    /// The part of the route's timeout below which a timeout is what is left of a longer one.
+    /// Fraction of the route's timeout below which a timeout is the remainder of a longer one.
     fn fence(&self) -> f64 {
         if self.total < MIN_REQUESTS {
             return FIRST_FENCE;
--- a/crates/fleet/src/place.rs
+++ b/crates/fleet/src/place.rs
@@ -1,8 +1,8 @@
-//! Choosing where a request runs.
+//! Load balancing over hosts.
 
 use eelgrassmill_base::{HostId, value};
 
-/// Cost of a host in another failure domain, in requests for each slot.
+/// Cost of a host in another failure domain, in requests per slot.
 const DISTANCE: f64 = 0.25;
 
 value! {
@@ -12,11 +12,11 @@
         pub host: HostId,
         /// Requests that run or wait there, as far as this node knows.
         pub load: usize,
-        /// Requests that it runs at once.
+        /// Maximum number of concurrent requests.
         pub slots: usize,
         /// Whether it is in this node's failure domain.
         pub same_domain: bool,
-        /// Recent failures: 0 for none, 1000 for nothing but failures.
+        /// Recent failure rate in thousandths: 0 for no failures, 1000 if all requests failed.
         pub failure_permille: u32,
     }
 }
@@ -30,20 +30,21 @@
     }
 }
 
-/// Unseen requests count this many times: while they came, about as many ended, which the old
-/// loads still include.
+/// Weight of an unseen request. While they were sent about as many requests ended, which the
+/// reported loads still include.
 const TURNOVER: f64 = 2.0;
-/// Loads that differ by less than this count as equal.
+/// Costs that differ by less than this count as equal.
 const SAME: f64 = 1e-9;
 
-/// The candidate that should run the request: the emptiest, a near one before a far one.
+/// Chooses the host for a request: the least loaded, preferring this node's failure domain.
 ///
-/// `unseen` is how many requests other nodes are likely to have sent since the loads were
-/// reported. Nodes that all send to the emptiest host by the same old report overfill it. So the
-/// unseen requests are assumed to be spread as evenly as the loads permit, and each host is
-/// chosen with its part of them: with fresh loads the emptiest host, with old ones nearly any.
+/// `unseen` is the estimated number of requests that other nodes have sent since the loads were
+/// reported. If all nodes sent to the least loaded host of the same outdated report, they would
+/// overload it. So the unseen requests are assumed to be spread as evenly as the loads permit, and
+/// each host is chosen with a probability proportional to its share of them: with fresh loads the
+/// least loaded host, with old ones almost any.
 ///
-/// `pick` is any number from 0 up to 1; nodes that see the same must not draw the same.
+/// `pick` is a random number in [0, 1), drawn independently by each node.
 pub fn choose_host<'c>(
     candidates: impl IntoIterator<Item = &'c HostCandidate>,
     unseen: f64,
@@ -57,7 +58,7 @@
         if *cost > level + SAME {
             return 0.0;
         }
-        // Equals at the level share what is left where nothing is unseen.
+        // If nothing is unseen, hosts with equal cost are equally likely.
         (level - cost).max(SAME) * c.slots.max(1) as f64
     };
     let total: f64 = open.iter().map(part).sum();
@@ -71,7 +72,7 @@
     open.first().map(|(_, c)| *c)
 }
 
-/// The cost that all candidates below it reach once `unseen` requests were spread over them.
+/// The cost that all cheaper candidates reach once `unseen` requests are spread over them.
 /// `open` is sorted by cost.
 fn level(open: &[(f64, &HostCandidate)], unseen: f64) -> f64 {
     let mut level = open.first().map_or(0.0, |(cost, _)| *cost);
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -1,17 +1,17 @@
-//! Which hosts form a replica of which model, and the orders that make it so.
+//! Assigns hosts to model replicas and issues the orders that form them.
 //!
-//! The load it answers: a pool of hosts in fabric domains that loses a host every few
-//! seconds, now and then a whole domain, while demand stays. What costs callers most is
-//! the time that a replica can't serve, so each domain keeps spares that have joined a
-//! replica of the model before and join again in a fraction of a second.
+//! Designed for a pool of hosts in fabric domains that loses a host every few seconds, and at
+//! times a whole domain, under constant demand. Callers suffer most while a replica is down, so
+//! each domain keeps spares that have already joined a replica of the model and rejoin in a
+//! fraction of a second.
 //!
-//! Safety rests on three rules, each checked in one place:
-//! - A replica is opened only after every member said that it is ready in this very
-//!   formation ([`Planner::advance_joining`]).
-//! - A host of a replica that may serve is given nothing else until it has itself left
-//!   ([`Planner::advance_dissolving`]). Its head may be out of reach and serve on.
-//! - Every formation has an epoch of its own that is higher than all before it, also
-//!   those of earlier planners, so that a late order of an older one is refused.
+//! Three safety rules, each enforced in one place:
+//! - A replica is opened only after every member has reported ready in this formation
+//!   ([`Planner::advance_joining`]).
+//! - A member of a replica that may be serving is not reassigned until it has itself left
+//!   ([`Planner::advance_dissolving`]). Its head may be unreachable and still serving.
+//! - Every formation has a unique epoch, higher than all earlier ones including those of previous
+//!   planners, so that hosts reject delayed orders for an older formation.
 
 mod advance;
 mod choose;
@@ -43,40 +43,38 @@
 use crate::planner::rejecting::RejectingHosts;
 use crate::planner::serving::ServingCounts;
 
-/// Formations that one planner's term has room for; far more than a term can last.
+/// Epochs reserved for one planner term; far more than a term can use.
 const EPOCHS_PER_TERM: u64 = 1 << 20;
-/// How long it is remembered what was sent to a host: longer than any interval between two
-/// orders of a kind.
+/// How long sent messages are remembered. Longer than any resend interval.
 const SENT_TTL: Duration = Duration::from_secs(2);
-/// A join from nothing in a host that was a member of a replica of this model: 0.2 s by
-/// the platform's page.
+/// Join time of a host whose last replica was of the same model, as the platform specifies.
 const PRIMED_JOIN_TIME: Duration = Duration::from_millis(200);
 
 value! {
-    /// Times of the planner.
+    /// Timeouts and intervals of the planner.
     pub struct PlannerTiming {
-        /// An order without an answer is sent again after this.
+        /// Interval at which an unanswered order is resent.
         pub resend_interval: Duration,
-        /// The same to a host that gives no answer at all, until it is no longer listed.
+        /// Resend interval for silent hosts, while they are listed.
         pub silent_resend_interval: Duration,
-        /// Between two questions to a host that is about to be ready. Entries of hosts
-        /// come 200 to 300 ms late, which would be the larger part of a repair.
+        /// Interval between queries to a host that is about to be ready. Host entries arrive
+        /// 200 to 300 ms late, which would be most of the repair time.
         pub query_interval: Duration,
-        /// An open replica whose members' entries say otherwise for this long is given
-        /// up: entries lag behind orders, so a shorter time would end sound replicas.
+        /// How long members' entries may contradict an open replica before it is dissolved.
+        /// Entries lag behind orders, so a shorter time would dissolve healthy replicas.
         pub max_entry_lag: Duration,
-        /// A planner that takes over forms nothing for this long: the lease of the one
-        /// before, and the time that its last orders wait for answers.
+        /// How long a new planner forms nothing after taking over: the previous planner's lease
+        /// plus the timeout of its last orders.
         pub takeover_delay: Duration,
-        /// How long the members of a lost replica are waited for before others take their
-        /// places: two orders' time.
+        /// How long to wait for the members of a lost replica to leave before other hosts
+        /// replace them: two order round trips.
         pub leave_timeout: Duration,
-        /// How long a replica serves on with a member that is leaving. Members stay for up
-        /// to 10 s; what is left is for the head to finish its work.
+        /// How long a replica keeps serving with a leaving member. Members stay for up to 10 s;
+        /// the rest of that time is for the head to finish its requests.
         pub max_leaving_time: Duration,
-        /// How long a head may finish what runs when a member is leaving.
+        /// How long a head may finish running requests when a member is leaving.
         pub drain_timeout: Duration,
-        /// The window of the bound on loads from the weight store.
+        /// Window of the rate limit on loads from the weight store.
         pub load_window: Duration,
     }
 }
@@ -97,7 +95,7 @@
     }
 }
 
-/// The planner's state. It is rebuilt from the hosts' own reports by any new planner.
+/// State of the planner. A new planner rebuilds it from the hosts' reports.
 #[derive(Clone, Debug)]
 pub struct Planner {
     term: u64,
@@ -106,45 +104,45 @@
     timing: PlannerTiming,
     /// Invariant: a host is a member of at most one formation.
     formations: Formations,
-    /// Invariant: true while replicas are being formed, and outdated between two steps.
+    /// Invariant: accurate while replicas are being formed, stale between calls of
+    /// [`Planner::plan`].
     serving: ServingCounts,
-    /// Hosts that report this planner themselves which replica they belong to. Invariant:
-    /// after the first term only these join anything, and none report it while the planner
-    /// before could still give orders.
+    /// Hosts that reported their membership to this planner directly. Invariant: after the first
+    /// term only these join a replica, and only reports from after the previous planner's last
+    /// possible orders are recorded.
     last_reports: BTreeMap<HostId, LastReport>,
-    /// Hosts that left an order unanswered, and when. They may carry it out yet.
+    /// Hosts that did not answer an order, and when. They may still execute it.
     unconfirmed_orders: BTreeMap<HostId, Instant>,
-    /// Hosts that give no answer.
+    /// Hosts that do not respond.
     silent: BTreeMap<HostId, Silence>,
-    /// Formations whose hosts are free, for as long as entries may still show them.
+    /// Formations whose hosts are free, while entries may still show them as members.
     dissolved: BTreeMap<GroupId, Dissolved>,
     unanswered_counts: BTreeMap<HostId, u32>,
-    /// Hosts to ask because an order got no answer.
+    /// Hosts to query because an order got no answer.
     pending_queries: BTreeSet<HostId>,
-    /// Orders and questions under way or sent lately by the epoch that they are about, 0
-    /// for none, and when.
+    /// When each recent order or query was sent, by the epoch it refers to (0 for none).
     sent: BTreeMap<(HostId, MessageKind, Epoch), Instant>,
-    /// Hosts that have been members of a replica of a model, by their start.
+    /// The model of the last replica that each host joined, with the host's start time.
     primed: BTreeMap<HostId, (u64, ModelName)>,
-    /// Spares that load a further model, and until when that may take.
+    /// Hosts that are loading a model's weights, and the load's timeout.
     staging: BTreeMap<HostId, (ModelName, Instant)>,
-    /// When loads from the weight store began.
+    /// Start times of recent loads from the weight store.
     loads: VecDeque<Instant>,
-    /// Hosts that reject requests as heads.
+    /// Heads that reject requests.
     rejecting: RejectingHosts,
-    /// How many hosts there are, and since when.
+    /// Number of listed hosts, and when it last changed.
     host_count: (usize, Instant),
 }
 
-/// What is remembered of a formation that has ended.
+/// A formation that has ended.
 #[derive(Clone, Debug)]
 struct Dissolved {
     at: Instant,
-    /// Members that left it, whatever their entries still say.
+    /// Members that left it, whatever their entries still show.
     left: BTreeSet<HostId>,
 }
 
-/// What was sent to a host.
+/// Kind of a message to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum MessageKind {
     Join,
@@ -156,7 +154,7 @@
 }
 
 impl Planner {
-    /// A planner whose epochs are above those of all terms before `term`.
+    /// Creates a planner whose epochs are higher than those of all terms before `term`.
     pub fn new(term: u64, timing: PlannerTiming, now: Instant) -> Planner {
         Planner {
             term,
@@ -180,12 +178,12 @@
         }
     }
 
-    /// The formations it is responsible for.
+    /// All formations that this planner manages.
     pub fn formations(&self) -> impl Iterator<Item = &Formation> {
         self.formations.values()
     }
 
-    /// Notes that a replica no longer serves.
+    /// Records that an open replica no longer serves, and dissolves it.
     pub fn on_replica_lost(&mut self, replica: &str, epoch: Epoch, loss: LossReason, now: Instant) {
         let known = self.formations.get_mut(replica);
         let serving = known.filter(|f| f.epoch == epoch && f.phase == FormationPhase::Open);
@@ -194,11 +192,10 @@
         }
     }
 
-    /// Takes what a host answered to an order that reached it; `None` when no answer came.
+    /// Handles a host's reply to an order, or `None` if the order timed out after reaching it.
     ///
-    /// Some hosts leave orders unanswered and carry them out seconds later, and are well
-    /// otherwise. Taken for dead after two such orders, they cost a replica each time; a
-    /// question tells them from dead ones.
+    /// Some healthy hosts don't answer orders but execute them seconds later. Declaring them dead
+    /// after two such orders would lose a replica each time; a query tells them from dead hosts.
     pub fn on_reply(
         &mut self,
         host: &HostId,
@@ -221,16 +218,16 @@
         };
         if let (Some(OrderReply::WrongHost), Some(info)) = (reply, formation.member_info.get(host))
         {
-            // Its entry is about to go; chosen again meanwhile it would end each new
-            // formation at once.
+            // Its entry is about to be removed. Choosing the host again until then would break each
+            // new formation at once.
             let silence = Silence {
                 born_ms: info.born_ms,
                 listed: true,
             };
             self.silent.insert(host.clone(), silence);
         }
-        // A formation that was given up while the order was under way stays given up:
-        // taken back, it would serve without the member that it lost.
+        // A formation that was abandoned while the order was in flight stays abandoned. Reopened,
+        // it would serve without the member that it lost.
         let phase = formation.phase;
         match (order, reply) {
             (Order::Join { .. }, None) => {
@@ -249,15 +246,15 @@
             {
                 formation.enter_phase(FormationPhase::Open, now);
             }
-            // It was ready, so it has been taken out of the formation. Told again and again,
-            // it would never serve, and its hosts be bound for good.
+            // The head was ready before, so it has since left the formation. Resending the order
+            // would never succeed and would hold the members forever.
             (Order::Open { .. }, Some(OrderReply::Conflict | OrderReply::WrongHost))
                 if phase == FormationPhase::Opening =>
             {
                 formation.abandon(LossReason::Refused(host.clone()), now);
             }
-            // A conflict means that it is no member, and another host at its address
-            // that it is gone.
+            // A conflict means that the host is no member; another host at its address means that
+            // it is gone.
             (Order::Leave { .. }, Some(reply)) if !matches!(reply, OrderReply::Refused(_)) => {
                 formation.left.insert(host.clone(), now);
             }
@@ -265,8 +262,8 @@
         }
     }
 
-    /// Decides what to do now. `cold` while no request was ever served, when loads are
-    /// quick and bounded by nothing.
+    /// Runs one planning pass and returns the commands to execute. `cold` is set until the first
+    /// request was ever served; loads are fast and not rate-limited then.
     pub fn plan(
         &mut self,
         fleet: &Fleet,
@@ -313,7 +310,7 @@
         }
         self.query_pending(fleet, now, &mut commands);
         self.query_silent(fleet, now, &mut commands);
-        // Formations that were just decided are ordered at once.
+        // Sends the orders of new formations in the same pass.
         let joining = |f: &Formation| f.phase == FormationPhase::Joining && f.accepted.is_empty();
         let fresh: Vec<GroupId> = self
             .formations
@@ -327,8 +324,8 @@
         commands
     }
 
-    /// Drops what is remembered of hosts that are gone. A silent host counts again once
-    /// it is listed anew or with another start.
+    /// Removes state of hosts that are gone. A silent host is usable again once it is listed anew
+    /// or with another start time.
     fn remove_stale(&mut self, fleet: &Fleet, now: Instant) {
         let bound: BTreeSet<HostId> = self
             .formations
@@ -344,7 +341,7 @@
             .retain(|_, at| now.saturating_duration_since(*at) < MAX_ORDER_DELAY);
         let recent = |at: Instant| now.saturating_duration_since(at) < SENT_TTL;
         self.sent.retain(|(id, ..), at| recent(*at) && concerns(id));
-        // A load that is done must not count as under way once its host holds another model.
+        // A finished load must not count as in progress once its host holds another model.
         self.staging.retain(|id, (model, until)| {
             let host = fleet.host(id);
             now < *until && host.is_some_and(|h| !h.staged.contains(model))
@@ -374,11 +371,11 @@
         }
     }
 
-    /// Takes over the replicas that hosts report and no formation here knows.
+    /// Creates formations for replicas that hosts report and this planner doesn't manage yet.
     ///
-    /// An order to open one may still be under way from the planner before, and a host
-    /// that was out of reach comes back as a member of one that was given up. Were such
-    /// hosts taken as free, they could be given away while their replica serves.
+    /// The previous planner's order to open one may still be in flight, and an unreachable host can
+    /// come back as a member of an abandoned replica. Treated as free, such hosts could be
+    /// reassigned while their replica serves.
     fn adopt(&mut self, fleet: &Fleet, services: &[&Service], now: Instant) {
         let lag = self.timing.max_entry_lag;
         self.dissolved
@@ -396,12 +393,12 @@
             let Some(first) = hosts.first().copied() else {
                 continue;
             };
-            // A host that is still joining doesn't say for which model.
+            // A host that is still joining doesn't report its model.
             let model = model_of(first, services);
             let ranks = replica.members.iter().map(|(rank, _)| *rank);
             let whole = model.is_some_and(|m| hosts.len() == m.size && ranks.eq(0..m.size));
-            // After an outage of the store hosts are listed again one by one; replicas that
-            // serve would be given up for members that are still to come.
+            // After a store outage hosts are listed again one by one. Serving replicas would be
+            // dissolved for members that are not listed yet.
             if !whole && self.is_taking_over(now) {
                 continue;
             }
@@ -422,10 +419,10 @@
         }
     }
 
-    /// Takes in hosts that report to be members of a formation and don't count as such.
+    /// Adds hosts that report membership in a formation but aren't tracked as its members.
     ///
-    /// Entries come one by one: members of a replica that is being given up may show only
-    /// now, and its head may still be report to serve.
+    /// Entries arrive one by one: members of a replica that is being dissolved may appear late, and
+    /// an order to open it may still reach its head.
     fn update_members(&mut self, replica: &GroupId, hosts: &[&Host], now: Instant) {
         for host in hosts {
             let Some(known) = self.formations.get_mut(replica) else {
@@ -439,25 +436,26 @@
         }
     }
 
-    /// Whether this planner made the epoch.
+    /// Whether this planner issued the epoch.
     fn is_own_epoch(&self, epoch: Epoch) -> bool {
         epoch / EPOCHS_PER_TERM == self.term
     }
 
-    /// Whether the planner before this one may still give orders, or hosts be about to show
-    /// what it ordered.
+    /// Whether the previous planner may still send orders, or its orders may not show in host
+    /// entries yet.
     fn is_taking_over(&self, now: Instant) -> bool {
         self.term > 1 && now.saturating_duration_since(self.started_at) < self.timing.takeover_delay
     }
 
-    /// The formation that a host is a member of.
+    /// The formation that holds a host.
     pub fn formation_of(&self, host: &str) -> Option<&Formation> {
         self.formations
             .of_member(host)
             .find(|f| f.holds_member(host))
     }
 
-    /// A member that is silent goes before one that is leaving and may still work.
+    /// The most severe loss of a member: a silent member goes before a leaving one, which may still
+    /// work.
     fn worst_loss(&self, f: &Formation, fleet: &Fleet) -> Option<LossReason> {
         let silent = f.members.iter().find(|m| self.silent.contains_key(*m));
         let lost = || f.members.iter().find_map(|m| self.loss_of(m, fleet));
@@ -481,7 +479,7 @@
         (format_smolstr!("r{}-{}", self.term, self.formed), epoch)
     }
 
-    /// Whether a host takes orders and is no member of a serving formation.
+    /// Whether a host accepts orders and is held by no serving formation.
     fn is_free(&self, host: &Host) -> bool {
         let is_taken = |f: &Formation| {
             let serves = f.purpose == Purpose::Serve;
--- a/crates/fleet/src/planner/advance.rs
+++ b/crates/fleet/src/planner/advance.rs
@@ -1,4 +1,4 @@
-//! Carrying a formation from one step to the next.
+//! Transitions of a formation between its phases.
 
 use std::time::{Duration, Instant};
 
@@ -11,11 +11,11 @@
 use crate::planner::order::{Command, Order};
 use crate::planner::{Dissolved, Planner, find_model};
 
-/// What one step of the planner rests on.
+/// Inputs of one planning pass.
 pub(super) struct PlanInput<'m> {
     pub(super) fleet: &'m Fleet,
     pub(super) services: &'m [&'m Service],
-    /// Whether no request was ever served, so that loads are quick and not bounded.
+    /// Whether no request was ever served; loads are fast and not rate-limited then.
     pub(super) cold: bool,
     pub(super) now: Instant,
 }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Orders members to join, asks them, and opens once each said that it is ready.
+    /// Orders members to join, queries them, and opens the replica once all report ready.
     fn advance_joining(
         &mut self,
         f: &mut Formation,
@@ -65,7 +65,7 @@
             return self.advance_priming(f, lost, model, input, commands);
         }
         if lost.is_some() || f.loss.is_some() {
-            // The order to open may be under way: until the head has left it may serve.
+            // The order to open may be in flight: until the head has left, it may serve.
             if f.open_sent {
                 f.abandon(lost.unwrap_or(LossReason::Incomplete), input.now);
                 return true;
@@ -84,7 +84,7 @@
                 continue;
             }
             let expected = f.since + self.join_time(host, model, input.now);
-            // Before there are requests, entries are early enough.
+            // Before the first request, host entries arrive soon enough.
             let patience = if input.cold {
                 self.timing.max_entry_lag
             } else {
@@ -100,7 +100,7 @@
         true
     }
 
-    /// Whether a member has said that it is ready; notes it if it says so now.
+    /// Whether a member has reported ready; records it if it does so now.
     fn record_ready(&mut self, f: &mut Formation, host: &Host) -> bool {
         if f.is_ready_member(host) {
             let joined = (host.started_ms, f.model.clone());
@@ -133,8 +133,8 @@
         self.send(open, f, &head, input.now, commands);
     }
 
-    /// A spare joins a replica of its own that is never opened, so that it joins a
-    /// serving one in 0.2 s instead of the time that its weights take.
+    /// Joins a spare to a replica of its own that is never opened, so that it later joins a serving
+    /// one in 0.2 s instead of the time that its weights take to load.
     fn advance_priming(
         &mut self,
         f: &mut Formation,
@@ -159,7 +159,7 @@
 
     fn advance_open(&mut self, f: &mut Formation, lost: Option<LossReason>, input: &PlanInput<'_>) {
         if let Some(loss) = lost {
-            // A host whose entry vanished may be leaving without a word, and serve on.
+            // A host without an entry may be leaving unannounced and still serve.
             let planned = matches!(loss, LossReason::Leaving(_) | LossReason::Gone(_));
             if planned && self.may_stay(f, input) {
                 return;
@@ -190,17 +190,16 @@
         let head = f.head().and_then(|h| input.fleet.host(h));
         match head.and_then(|h| h.membership.as_ref()).map(|m| m.phase) {
             Some(MembershipPhase::Broken) => f.abandon(LossReason::Broken, input.now),
-            // A late order closed it: open it again.
+            // A delayed order closed it: open it again.
             Some(MembershipPhase::Ready) => f.enter_phase(FormationPhase::Joining, input.now),
             _ => {}
         }
     }
 
-    /// Whether a replica serves on although a member is leaving.
+    /// Whether a replica keeps serving although a member is leaving.
     ///
-    /// A member, unlike a head, gets no requests, and stays for up to 10 s while its head
-    /// has work. Where no spare can take its place at once, the replica is of more use
-    /// with it than dissolved.
+    /// Unlike the head, other members get no requests and stay for up to 10 s while the head has
+    /// work. If no spare can replace the member immediately, the replica is kept open.
     fn may_stay(&mut self, f: &mut Formation, input: &PlanInput<'_>) -> bool {
         let head_stays = f
             .head()
@@ -210,7 +209,7 @@
         head_stays && !long && !self.can_replace(f, input.fleet)
     }
 
-    /// Whether free hosts could join now in place of all members that are leaving.
+    /// Whether free hosts could replace all leaving members now.
     fn can_replace(&self, f: &Formation, fleet: &Fleet) -> bool {
         let lost = f
             .members
@@ -224,7 +223,7 @@
         free.filter(joins).take(lost).count() == lost
     }
 
-    /// The head finishes what runs; then the replica is dissolved and formed anew.
+    /// Lets the head finish running requests, then dissolves the replica.
     fn advance_draining(
         &mut self,
         f: &mut Formation,
@@ -257,11 +256,11 @@
         true
     }
 
-    /// Tells all members to leave, and keeps each bound until it has.
+    /// Orders all members to leave, and holds each until it has.
     ///
-    /// A host that joins another replica while its old head serves would tear answers
-    /// in progress apart, which callers see as streams that stand still. A member that
-    /// has left stops the replica by itself, so the head needs not be in reach.
+    /// A host that joins another replica while its old head serves would break answers in progress,
+    /// which callers see as stalled streams. A single member that has left stops the replica, so
+    /// the head need not be reachable.
     fn advance_dissolving(
         &mut self,
         f: &mut Formation,
--- a/crates/fleet/src/planner/choose.rs
+++ b/crates/fleet/src/planner/choose.rs
@@ -1,10 +1,10 @@
-//! Choosing models and members for hosts that are free.
+//! Assignment of free hosts to models.
 //!
-//! Weights take ten times longer to load from the weight store than all else in a repair.
-//! So a replica is formed only of hosts that hold its weights already; what is missing is
-//! loaded beside, and whoever is ready first takes the place. A host that loads as a
-//! member would bind the others for that time, and begin anew whenever the replica is
-//! formed differently or another planner takes over.
+//! Loading weights from the weight store takes ten times longer than the rest of a repair. So a
+//! replica is formed only of hosts that already have its weights; missing weights are loaded in
+//! the background, and the first host that is ready joins. A host that loads as a member would
+//! block the other members meanwhile, and start over whenever the replica is formed differently
+//! or another planner takes over.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -18,47 +18,47 @@
 use crate::planner::formation::{Formation, FormationPhase, Purpose};
 use crate::planner::{Command, Planner};
 
-/// A load that was ordered is ordered again after this many times its usual time: beyond
-/// the loads that the weight store serves at once each takes proportionally longer.
+/// Timeout of a load as a multiple of its usual time. Beyond its concurrency limit the weight
+/// store slows each load down proportionally.
 pub(super) const STAGE_TIMEOUT_FACTOR: u32 = 2;
 
-/// A model whose replicas have this many times less work each than another's would have
-/// leaves hosts that the other waits for to it.
+/// A model whose replicas would have this many times less work each than another's leaves free
+/// hosts to that other model.
 const REBALANCE_RATIO: f64 = 2.0;
 
-/// Hosts for which others wait: one arrives in a domain every few seconds while hosts are
-/// lost and replaced, and none is to be expected before the first request.
+/// Number of missing hosts that free hosts wait for. While hosts are lost and replaced, one arrives
+/// in a domain every few seconds; before the first request none is expected.
 const MAX_MISSING_HOSTS: usize = 1;
 
-/// Hosts that start together are listed within a second of each other.
+/// Hosts that start together are listed within this time of each other.
 const LIST_SETTLE_TIME: Duration = Duration::from_secs(1);
 
-/// What the decisions of one step rest on.
+/// Inputs of one planning pass for one service.
 pub(super) struct ServiceView<'v> {
     pub(super) service: &'v Service,
     pub(super) engine: &'v Engine,
     pub(super) fleet: &'v Fleet,
-    /// Whether no request was ever served, so that loads are quick and not bounded.
+    /// Whether no request was ever served; loads are fast and not rate-limited then.
     pub(super) cold: bool,
     pub(super) now: Instant,
 }
 
 impl Planner {
-    /// Forms replicas from free hosts, and readies those that are left over.
+    /// Forms replicas from free hosts, and prepares the remaining hosts as spares.
     pub(super) fn form_replicas(&mut self, view: &ServiceView<'_>, commands: &mut Vec<Command>) {
-        // Of hosts that are listed one by one, the first few would go to whichever model fits.
+        // The first few hosts to be listed would go to whichever model fits.
         if view.cold && !self.all_are_listed(view.now) {
             return;
         }
         let mut domains = self.free_hosts(view);
         let unasked = self.unreported_domains(view);
         for (fabric, free) in &mut domains {
-            // The first few hosts that answer a new planner would go to whichever model fits.
+            // The first few hosts to answer a new planner would go to whichever model fits.
             if !unasked.contains(fabric) {
                 self.form_in_domain(view, fabric, free, commands);
             }
         }
-        // Before requests come, replicas that serve are loaded first.
+        // Before the first request, serving replicas load before spares do.
         let waits = |f: &Formation| f.purpose == Purpose::Serve && f.phase != FormationPhase::Open;
         if view.cold && self.formations.values().any(waits) {
             return;
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Fabric domains with hosts that have yet to tell this planner which replica they belong to.
+    /// Fabric domains with hosts that have yet to report their membership to this planner.
     fn unreported_domains<'f>(&self, view: &ServiceView<'f>) -> BTreeSet<&'f FabricDomain> {
         let unasked = |h: &&Host| {
             let is_ours = h.service == view.service.name && h.is_ready();
@@ -85,7 +85,7 @@
         hosts.map(|h| &h.fabric).collect()
     }
 
-    /// Hosts that no serving formation has, by fabric domain.
+    /// Hosts that are held by no serving formation, by fabric domain.
     pub(super) fn free_hosts<'f>(
         &self,
         view: &ServiceView<'f>,
@@ -99,7 +99,8 @@
         domains
     }
 
-    /// Forms what a domain's free hosts can form. Leaves those that aren't spoken for.
+    /// Forms replicas from a domain's free hosts, and removes the hosts that it uses or loads
+    /// weights on from `free`.
     fn form_in_domain(
         &mut self,
         view: &ServiceView<'_>,
@@ -128,9 +129,9 @@
                 }
                 continue;
             }
-            // A further replica isn't worth binding spares for. While members of a lost one
-            // leave, a model may only seem to have none: report to load it, hosts that wait for
-            // another model would lose that one's weights.
+            // An additional replica isn't worth holding spares for. While members of a lost replica
+            // are leaving, a model may only seem to have none, and loading it would evict the
+            // weights of another model from hosts that wait for that one.
             if first && !self.is_releasing_members(fabric, view.now) {
                 for host in chosen {
                     self.stage(view, host, model, commands);
@@ -140,14 +141,14 @@
         }
     }
 
-    /// Forms the replicas that a domain can have without a load.
+    /// Forms the replicas that a domain can have without loading weights.
     ///
-    /// Weights that are missing take 16 s to load. Were hosts kept for the neediest model all
-    /// that time, others that hold another model would wait with them: after an outage of the
-    /// store in which eight of twelve replicas were lost, 33 of 54 hosts waited for 6 s and
-    /// longer. Not for a model that has more than enough beside one that lacks these hosts.
-    /// Beside a further replica one spare is left: more would serve nobody, and the next loss of
-    /// such a replica is mended from its own survivors.
+    /// Missing weights take 16 s to load. If hosts were reserved for the model with the most unmet
+    /// demand all that time, hosts with another model's weights would be idle: after a store outage
+    /// that lost eight of twelve replicas, 33 of 54 hosts waited for 6 s and longer. A model with
+    /// far less unmet demand than another gets no replica here. An additional replica leaves one
+    /// spare: more would serve nobody, and the next loss of such a replica is repaired from its
+    /// survivors.
     fn form_without_loads(
         &mut self,
         view: &ServiceView<'_>,
@@ -175,15 +176,15 @@
         }
     }
 
-    /// Whether a host joins a replica of the model without a load.
+    /// Whether a host can join a replica of the model without loading weights.
     pub(super) fn has_weights(&self, host: &Host, model: &ModelSpec) -> bool {
         host.staged.contains(&model.name) || self.is_primed(host, model)
     }
 
-    /// Whether hosts of a domain are about to be free that hold a model already.
+    /// Whether members of a lost replica in a domain are about to become free.
     ///
-    /// Members of a lost replica leave within milliseconds of each other. One formed in
-    /// between would take spares in their place and leave none.
+    /// They leave within milliseconds of each other. A replica formed in between would use up the
+    /// spares instead.
     fn is_releasing_members(&self, fabric: &FabricDomain, now: Instant) -> bool {
         let waits_for = |m: &HostId| !self.silent.contains_key(m);
         let leaving = |f: &&Formation| f.phase == FormationPhase::Dissolving && f.fabric == *fabric;
@@ -194,13 +195,13 @@
         })
     }
 
-    /// The models that a domain should form, the neediest first.
+    /// The models of which a domain should form a replica, by descending unmet demand.
     ///
-    /// Need is the work for each replica, counting one more. A model's share is of the work
-    /// of all hosts, so that one with small replicas needs more of them for the same share:
-    /// with sizes of 16 and 4 and equal shares four to one. Further replicas in a domain are
-    /// wanted of the neediest model alone while its `free` hosts lack few for one: others
-    /// would take hosts that wait for one more.
+    /// Unmet demand is the work per replica, counting one more replica. A model's share is of the
+    /// work of all hosts, so a model with small replicas needs more of them for the same share:
+    /// four to one with sizes of 16 and 4 and equal shares. While the `free` hosts lack only a few
+    /// for a replica of the model with the most unmet demand, no other model gets an additional
+    /// replica, since it would take hosts that wait for the missing ones.
     fn wanted_models<'e>(
         &self,
         view: &ServiceView<'e>,
@@ -225,23 +226,23 @@
         models
     }
 
-    /// Whether no host was listed or went for a while.
+    /// Whether the number of listed hosts has been stable for [`LIST_SETTLE_TIME`].
     ///
-    /// Hosts are listed one by one when all start. Domains of which a few are known would be
-    /// given to whichever model fits first, and the others find no room: with domains of 11 and
-    /// replicas of 6 and 3 half as much of what callers ask for was served on time.
+    /// When all hosts start, they are listed one by one. Partially listed domains would be assigned
+    /// to whichever model fits first, leaving no room for the others: with domains of 11 hosts and
+    /// replicas of 6 and 3, half as many requests were served on time.
     fn all_are_listed(&self, now: Instant) -> bool {
         let since = self.host_count.1;
         now.saturating_duration_since(since) >= LIST_SETTLE_TIME
     }
 
-    /// The work that one more replica of a model would have.
+    /// The work that an additional replica of a model would have.
     fn unmet_demand(&self, view: &ServiceView<'_>, model: &ModelSpec) -> f64 {
         let replicas = (self.serving_count(view, model, None) + 1) as f64;
         model.share.get() / (replicas * model.size.max(1) as f64)
     }
 
-    /// Replicas of a model that serve or are about to.
+    /// Number of replicas of a model that serve or are about to.
     pub(super) fn serving_count(
         &self,
         view: &ServiceView<'_>,
@@ -251,7 +252,7 @@
         self.serving.count(&view.service.name, &model.name, fabric)
     }
 
-    /// `false` when the loads that it takes must wait.
+    /// Creates a formation of the chosen hosts; `false` if the loads that it needs must wait.
     fn form_replica(
         &mut self,
         view: &ServiceView<'_>,
@@ -267,7 +268,7 @@
         }
         let (id, epoch) = self.next_formation();
         let mut chosen = chosen.to_vec();
-        // The first becomes the head.
+        // The first host becomes the head.
         chosen.sort_by_key(|h| self.rejecting.is_unfit_head(&h.id));
         let Some(formation) = Formation::new(id, epoch, &model.name, &chosen, view.now) else {
             return false;
@@ -278,7 +279,7 @@
         true
     }
 
-    /// Spares give up their own formations when a serving one takes them.
+    /// Removes the priming formations of spares that join a serving formation.
     fn drop_priming(&mut self, members: &[HostId]) {
         for member in members {
             let listing = self.formations.of_member(member);
@@ -294,7 +295,7 @@
         self.primed.get(&host.id).map(|(_, model)| model.clone())
     }
 
-    /// How long a host takes to be ready in a replica of `model`.
+    /// Expected time for a host to become ready in a replica of `model`.
     pub(super) fn join_time(
         &self,
         host: &Host,
--- a/crates/fleet/src/planner/formation.rs
+++ b/crates/fleet/src/planner/formation.rs
@@ -1,4 +1,4 @@
-//! One replica from the decision to form it until its hosts are free again.
+//! Lifecycle of one replica, from the decision to form it until all its hosts are free.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -10,63 +10,63 @@
 use crate::planner::order::Order;
 
 value! { copy
-    /// What a formation is for.
+    /// Purpose of a formation.
     pub enum Purpose {
-        /// It serves.
+        /// Serves requests.
         Serve,
-        /// It keeps a spare ready to join a serving one.
+        /// Primes a spare so that it joins a serving formation quickly.
         Prime,
     }
 
-    /// How far a formation is.
+    /// Lifecycle phase of a formation.
     pub enum FormationPhase {
-        /// Members join.
+        /// Members are joining.
         Joining,
-        /// All members are ready, and the head was report to serve.
+        /// All members are ready and the head was ordered to open.
         Opening,
-        /// It serves.
+        /// The replica serves.
         Open,
-        /// The head finishes what runs.
+        /// The head finishes running requests.
         Draining,
-        /// All members were report to leave. Invariant: until one has, it joins nothing else.
+        /// Members are ordered to leave. Invariant: a member joins nothing else until it has left.
         Dissolving,
     }
 }
 
 value! {
-    /// Why a replica was given up.
+    /// Why a replica was dissolved.
     pub enum LossReason {
-        /// A member gives no answer.
+        /// A member does not respond.
         Silent(HostId),
         /// A member is no longer listed.
         Gone(HostId),
         /// A member is leaving.
         Leaving(HostId),
-        /// A member reports to belong to another replica, or to none.
+        /// A member reports membership in another replica, or in none.
         Elsewhere(HostId),
         /// A member refused to join.
         Refused(HostId),
-        /// Not all members are known.
+        /// Some members are unknown.
         Incomplete,
         /// The head rejects requests.
         Rejects(HostId),
-        /// The head says that it lost a member.
+        /// The head reports that it lost a member.
         Broken,
     }
 }
 
-/// Entries may show for this long that a host is a member that has left: twice the time
-/// that they are late. Where they are later still, a host is report to leave once more.
+/// How long entries may still show a host as a member after it left: twice their usual delay.
+/// If they lag even more, the host is ordered to leave once more.
 const ENTRY_DELAY: Duration = Duration::from_millis(500);
 
-/// One replica, as its planner knows it.
+/// One replica, as the planner tracks it.
 #[derive(Clone, Debug)]
 pub struct Formation {
     /// Its name.
     pub id: GroupId,
-    /// Its epoch, which no other formation has.
+    /// Its epoch, unique among all formations.
     pub epoch: Epoch,
-    /// The service that it is for.
+    /// The service of its hosts.
     pub service: ServiceName,
     /// The model.
     pub model: ModelName,
@@ -74,37 +74,37 @@
     pub fabric: FabricDomain,
     /// The members; the first is the head.
     pub members: Vec<HostId>,
-    /// What it is for.
+    /// Its purpose.
     pub purpose: Purpose,
-    /// How far it is.
+    /// Its phase.
     pub phase: FormationPhase,
-    /// Since when.
+    /// When it entered the phase.
     pub since: Instant,
-    /// Why it was given up.
+    /// Why it was dissolved.
     pub loss: Option<LossReason>,
-    /// Since when a member is leaving, while it serves on.
+    /// Since when it has been serving with a leaving member.
     pub(crate) leaving_since: Option<Instant>,
-    /// Members that took the order to join.
+    /// Members that accepted the order to join.
     pub(crate) accepted: BTreeSet<HostId>,
-    /// Members that left an order to join unanswered: they may carry it out after they left.
+    /// Members that did not answer an order to join: they may execute it after having left.
     pub(crate) unconfirmed_joins: BTreeSet<HostId>,
-    /// Members that said that they are ready.
+    /// Members that reported ready.
     pub(crate) ready: BTreeSet<HostId>,
-    /// Whether its head was ever report to serve: such an order may be carried out late.
+    /// Whether an order to open was ever sent: the head may execute it late.
     pub(crate) open_sent: bool,
-    /// Each member's start and address when it was chosen. The address is needed also
-    /// after its entry is gone: a host whose entry vanished may serve on for seconds.
+    /// Each member's start time and address when it was chosen. The address is needed even after
+    /// its entry is removed: a host may keep serving for seconds without an entry.
     pub(crate) member_info: BTreeMap<HostId, MemberInfo>,
-    /// Members that have left, and when that was known. Invariant: only these and hosts
-    /// that are gone or have started again are given to other formations.
+    /// Members that have left, and when that became known. Invariant: only these and hosts that are
+    /// gone or have restarted are assigned to other formations.
     pub(crate) left: BTreeMap<HostId, Instant>,
-    /// Members that are out of reach and not listed. They count as members again should
-    /// they be listed again: a host that was only cut off still holds what it held.
+    /// Members that are unreachable and not listed. They count as members again once they are
+    /// listed again: a host that was only partitioned keeps its membership.
     pub(crate) gone: BTreeSet<HostId>,
 }
 
 value! {
-    /// What is remembered of a member.
+    /// A member's identity when it was chosen.
     pub(crate) struct MemberInfo {
         pub(crate) born_ms: u64,
         pub(crate) address: SmolStr,
@@ -119,15 +119,15 @@
         }
     }
 
-    /// Whether the host has started again since. An entry without a start says nothing of
-    /// that; taken for a new start it would free a member whose head serves.
+    /// Whether the host has restarted since. Entries without a start time don't count as a restart:
+    /// that would free a member whose head serves.
     pub(crate) fn has_restarted(&self, host: &Host) -> bool {
         self.born_ms != 0 && host.started_ms != 0 && self.born_ms != host.started_ms
     }
 }
 
 impl Formation {
-    /// A formation of these hosts, the first of which is its head; `None` without any.
+    /// Creates a formation of these hosts, the first of which is the head; `None` without hosts.
     pub(crate) fn new(
         id: GroupId,
         epoch: Epoch,
@@ -159,19 +159,19 @@
         })
     }
 
-    /// Takes a host in that reports to be a member and was not known as one. Its place in
-    /// the list says nothing: only a formation that is being given up gains members.
+    /// Adds a host that reports membership and was not tracked. Its position in the list has no
+    /// meaning: only formations that are being dissolved gain members.
     pub(crate) fn add_member(&mut self, host: &Host) {
         self.members.push(host.id.clone());
         self.member_info
             .insert(host.id.clone(), MemberInfo::of(host));
     }
 
-    /// Takes a host back as a member that left and says long after that it is one again: an
-    /// order to join that got no answer was carried out after the one to leave.
+    /// Restores a host that left but reports membership long afterwards: it executed an unanswered
+    /// order to join after the order to leave.
     ///
-    /// Taken as free it would be torn from a replica whose head is out of reach and may
-    /// still serve.
+    /// Treated as free, it would be taken from a replica whose head is unreachable and may still
+    /// serve.
     pub(crate) fn reinstate(&mut self, host: &HostId, now: Instant) {
         let long_ago = |at: &Instant| now.saturating_duration_since(*at) >= ENTRY_DELAY;
         if self.left.get(host).is_some_and(long_ago) {
@@ -179,22 +179,22 @@
         }
     }
 
-    /// Members that are not free for anything else.
+    /// Members that are not free to join other formations.
     pub(crate) fn held_members(&self) -> impl Iterator<Item = &HostId> {
         let free = |m: &HostId| self.left.contains_key(m) || self.gone.contains(m);
         self.members.iter().filter(move |m| !free(m))
     }
 
-    /// Whether a host is a member that is not free for anything else.
+    /// Whether a host is a member that is not free to join other formations.
     pub(crate) fn holds_member(&self, host: &str) -> bool {
         let is_free = self.left.contains_key(host) || self.gone.contains(host);
         !is_free && self.members.iter().any(|m| m == host)
     }
 
-    /// Whether a host that left may become a member again while the head may serve.
+    /// Whether a host that left may become a member again while the head may still serve.
     ///
-    /// Two orders that are both carried out late would otherwise tear it away: the one to
-    /// join here, then the one to join elsewhere. A head that is gone holds nobody.
+    /// Two delayed orders would otherwise break the replica: the host joins here, then joins
+    /// elsewhere. If the head itself is gone, no member is affected.
     pub(crate) fn may_rejoin(&self, host: &HostId) -> bool {
         let dissolving = self.phase == FormationPhase::Dissolving;
         dissolving
@@ -207,12 +207,12 @@
         self.members.first()
     }
 
-    /// Whether the host reports to belong to this formation.
+    /// Whether the host reports membership in this formation.
     pub(crate) fn is_member(&self, host: &Host) -> bool {
         host.belongs_to(&self.id, self.epoch)
     }
 
-    /// Whether the host reports to be ready in this formation.
+    /// Whether the host reports ready in this formation.
     pub(crate) fn is_ready_member(&self, host: &Host) -> bool {
         let phase = host.membership.as_ref().map(|m| m.phase);
         let ready = matches!(phase, Some(MembershipPhase::Ready | MembershipPhase::Open));
@@ -224,7 +224,7 @@
         self.since = now;
     }
 
-    /// Gives it up.
+    /// Starts dissolving the formation.
     pub(crate) fn abandon(&mut self, loss: LossReason, now: Instant) {
         self.loss = Some(loss);
         self.enter_phase(FormationPhase::Dissolving, now);
--- a/crates/fleet/src/planner/formations.rs
+++ b/crates/fleet/src/planner/formations.rs
@@ -1,4 +1,4 @@
-//! All formations of a planner, by name and by member.
+//! Collection of all formations, indexed by name and by member.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,13 +10,13 @@
 
 /// Formations by name, with an index of their members.
 ///
-/// A planner asks several times in each step which formation a host belongs to. A search
-/// through all formations for each host would make a step cost the square of the fleet's size.
+/// Each planning pass looks up the formation of every host several times. Scanning all formations
+/// for each host would make a pass quadratic in the size of the fleet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Formations {
     by_id: BTreeMap<GroupId, Formation>,
-    /// Invariant: for each host the formations that list it as a member, in the order of their
-    /// names, and those that were taken out to be advanced.
+    /// Invariant: for each host the formations that list it as a member, sorted by name, including
+    /// those removed by [`Formations::take`].
     by_member: HashMap<HostId, SmallVec<[GroupId; 2]>>,
 }
 
@@ -25,7 +25,7 @@
         self.by_id.get(id)
     }
 
-    /// A formation to change. Members are added by [`Formations::add_member`] alone.
+    /// Mutable access to a formation. Members are added only by [`Formations::add_member`].
     pub(super) fn get_mut(&mut self, id: &str) -> Option<&mut Formation> {
         self.by_id.get_mut(id)
     }
@@ -38,7 +38,7 @@
         self.by_id.values()
     }
 
-    /// The formations that list a host as a member, also where it has left.
+    /// The formations that list a host as a member, including those that it has left.
     pub(super) fn of_member(&self, host: &str) -> impl Iterator<Item = &Formation> {
         let ids = self.by_member.get(host).into_iter().flatten();
         ids.filter_map(|id| self.by_id.get(id))
@@ -58,17 +58,18 @@
         }
     }
 
-    /// Takes a formation out while it is advanced, to be put back or dropped.
+    /// Removes a formation but keeps its index entries, until [`Formations::put_back`] or
+    /// [`Formations::remove_from_index`].
     pub(super) fn take(&mut self, id: &str) -> Option<Formation> {
         self.by_id.remove(id)
     }
 
-    /// Puts back what [`Formations::take`] gave, with the same members.
+    /// Reinserts a formation returned by [`Formations::take`], with the same members.
     pub(super) fn put_back(&mut self, formation: Formation) {
         self.by_id.insert(formation.id.clone(), formation);
     }
 
-    /// Drops what [`Formations::take`] gave.
+    /// Removes the index entries of a formation returned by [`Formations::take`].
     pub(super) fn remove_from_index(&mut self, formation: &Formation) {
         for member in &formation.members {
             if let Some(ids) = self.by_member.get_mut(member) {
--- a/crates/fleet/src/planner/knowledge.rs
+++ b/crates/fleet/src/planner/knowledge.rs
@@ -1,8 +1,8 @@
-//! What a planner knows of hosts, and from whom.
+//! Tracks which hosts respond and how current their reported membership is.
 //!
-//! The list of hosts is late, and shows hosts that can't reach the store as they were. A
-//! host's own word is newer, unless it comes from another host at its address. A host that
-//! left an order unanswered may carry it out seconds later.
+//! The host list lags, and shows stale entries of hosts that can't reach the store. A host's own
+//! report is newer, unless another host at its address answered. A host that did not answer an
+//! order may execute it seconds later.
 
 use std::time::{Duration, Instant};
 
@@ -12,33 +12,33 @@
 use crate::host::Host;
 use crate::planner::Planner;
 
-/// Orders without an answer are carried out up to 12 s later; some reserve.
+/// Unanswered orders are executed up to 12 s later; the rest is a margin.
 pub(super) const MAX_ORDER_DELAY: Duration = Duration::from_secs(15);
-/// An answer of a host counts as its present state for this long: the planner acts within
-/// a few milliseconds of it, and of a hundred late orders one at most falls in between.
+/// How long a host's report counts as its current state. The planner acts within a few
+/// milliseconds of it, and at most one of a hundred late orders falls in between.
 const REPORT_TTL: Duration = Duration::from_millis(100);
-/// A host that gave no answer this often in a row counts as silent.
+/// Consecutive unanswered messages after which a host counts as silent.
 const MAX_UNANSWERED: u32 = 2;
 
-/// What is remembered of a host that gives no answer.
+/// State of a host that does not respond.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Silence {
-    /// Its start when that was noticed.
+    /// Its start time when it was marked silent.
     pub(super) born_ms: u64,
-    /// Whether it has been listed ever since.
+    /// Whether it has been listed without a break since then.
     pub(super) listed: bool,
 }
 
-/// A host's last answer to a question.
+/// A host's last answer to a query.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LastReport {
-    /// Its start.
+    /// Its start time.
     pub(super) born_ms: u64,
     pub(super) at: Instant,
 }
 
 impl Planner {
-    /// Notes that a host gives no answer though others do.
+    /// Marks a host as silent, because it does not respond while others do.
     pub fn mark_silent(&mut self, host: &HostId, fleet: &Fleet) {
         let entry = fleet.host(host);
         let silence = Silence {
@@ -48,8 +48,8 @@
         self.silent.entry(host.clone()).or_insert(silence);
     }
 
-    /// Takes a host's answer to a question: the host as it now says it is. `false` where
-    /// another host must have answered, so that nothing is to be concluded from it.
+    /// Handles a host's answer to a query. Returns `false` if another host must have answered, in
+    /// which case the report is to be ignored.
     pub fn on_report(&mut self, report: &Host, fleet: &Fleet, now: Instant) -> bool {
         if !self.is_from_same_host(report, fleet) {
             self.on_unanswered(&report.id, fleet);
@@ -68,12 +68,12 @@
         true
     }
 
-    /// Whether an answer fits the host that was asked.
+    /// Whether a report can come from the host that was queried.
     ///
-    /// A host that crashed starts again under another name at its address, while its old
-    /// entry stands, and hosts tell who asks what they are without a look at whom was
-    /// asked for. Its new self may be a member already. Taken for the old one's word, the
-    /// replica would seem to have a member more, or one to be ready that never was.
+    /// A crashed host restarts under another name at the same address while its old entry remains,
+    /// and hosts answer queries without checking which host is addressed. The restarted host may
+    /// already be a member. Attributed to the old host, its report would add a member to the
+    /// replica, or mark one ready that never was.
     fn is_from_same_host(&self, report: &Host, fleet: &Fleet) -> bool {
         let Some(m) = &report.membership else {
             return true;
@@ -87,7 +87,7 @@
         !fleet.hosts().any(|h| h.id != report.id && has_part(h))
     }
 
-    /// Notes that a host was not reached or did not answer a question.
+    /// Records that a host was unreachable or did not answer a query.
     pub fn on_unanswered(&mut self, host: &HostId, fleet: &Fleet) {
         let count = self.unanswered_counts.entry(host.clone()).or_default();
         *count += 1;
@@ -96,20 +96,20 @@
         }
     }
 
-    /// Whether this planner can tell which replica a host belongs to.
+    /// Whether this planner knows which replica a host belongs to.
     ///
-    /// A host that can't reach the store may have joined a replica for the planner before,
-    /// while its entry still shows it free. Given away, it would be torn from a replica
-    /// whose head serves. In the first term nobody can have ordered anything before.
+    /// A host that can't reach the store may have joined a replica of the previous planner while
+    /// its entry still shows it free. Reassigned, it would be taken from a replica whose head
+    /// serves. In the first term there was no previous planner.
     pub(super) fn knows_membership(&self, host: &Host) -> bool {
         self.term <= 1 || self.last_reports.contains_key(&host.id)
     }
 
-    /// Whether a host may have carried out an order that this planner knows nothing of, so
-    /// that it has to be asked before it joins anything.
+    /// Whether a host may have executed an order without this planner knowing, so that it has to be
+    /// queried before it joins anything.
     ///
-    /// A host that left carries out an earlier order to join seconds later and is a member
-    /// again. Its entry shows that late, and not at all while the store is away.
+    /// A host that left may execute an earlier order to join seconds later and become a member
+    /// again. Its entry shows that late, and not at all during a store outage.
     pub(super) fn must_query_first(&self, host: &HostId, now: Instant) -> bool {
         let lately = |since: Instant| now.saturating_duration_since(since) < MAX_ORDER_DELAY;
         let by_others = self.term > 1 && lately(self.started_at);
--- a/crates/fleet/src/planner/order.rs
+++ b/crates/fleet/src/planner/order.rs
@@ -1,4 +1,4 @@
-//! What the planner wants done.
+//! Orders and commands of the planner, and the hosts' replies.
 
 use eelgrassmill_base::{Epoch, GroupId, HostId, ModelName, value};
 
@@ -20,26 +20,26 @@
             /// All members; the first is the head.
             members: Vec<HostId>,
         },
-        /// To a head: begin to serve.
+        /// To a head: start serving.
         Open {
             /// The replica.
             replica: GroupId,
             /// Its formation.
             epoch: Epoch,
         },
-        /// To a head: finish what runs and take nothing new.
+        /// To a head: finish running requests and accept no new ones.
         Close {
             /// The replica.
             replica: GroupId,
             /// Its formation.
             epoch: Epoch,
         },
-        /// Load a model's weights into the host's memory, beside all other work.
+        /// Load a model's weights into the host's memory in the background.
         Stage {
             /// The model.
             model: ModelName,
         },
-        /// Stop being a member, at once.
+        /// Stop being a member immediately.
         Leave {
             /// The replica.
             replica: GroupId,
@@ -48,15 +48,15 @@
         },
     }
 
-    /// What the planner wants done.
+    /// An action that the planner requests from its caller.
     pub enum Command {
-        /// Send an order and report the reply.
+        /// Send an order and report the reply to the planner.
         Order {
-            /// To this host.
+            /// The receiving host.
             host: HostId,
-            /// Its address, also where it is no longer listed.
+            /// Its address, known even if the host is no longer listed.
             address: SmolStr,
-            /// This order.
+            /// The order.
             order: Order,
         },
         /// Ask a host for its state.
@@ -68,25 +68,25 @@
 }
 
 value! { copy
-    /// What a host answers to an order.
+    /// A host's reply to an order.
     pub enum OrderReply {
-        /// It has begun.
+        /// Execution has started.
         Begun,
-        /// It is done, or was already so.
+        /// Completed, now or earlier.
         Done,
-        /// It doesn't fit what the host holds.
+        /// The order conflicts with the host's current membership.
         Conflict,
-        /// Its epoch is older than one that the host has seen.
+        /// The order's epoch is older than one that the host has seen.
         Fenced,
         /// Another host has this address now.
         WrongHost,
-        /// It was refused otherwise, with this status.
+        /// Rejected for another reason, with this HTTP status.
         Refused(u16),
     }
 }
 
 impl Order {
-    /// The formation that it is about; none for a stage.
+    /// The formation that it refers to; `None` for [`Order::Stage`].
     pub fn formation(&self) -> Option<(&GroupId, Epoch)> {
         match self {
             Order::Join { replica, epoch, .. }
--- a/crates/fleet/src/planner/ready.rs
+++ b/crates/fleet/src/planner/ready.rs
@@ -1,8 +1,8 @@
-//! Readying hosts: weights in their memory, and spares that are members for a model.
+//! Preparation of spare hosts: priming and staging of weights.
 //!
-//! A host joins within 0.2 s the model that it was last a member for, and within 1.6 s one
-//! whose weights its memory holds; with neither it takes 16 s. So spares are made members for
-//! one model and load another one beside.
+//! A host joins a replica of the model that it was last a member for within 0.2 s, one whose
+//! weights are in its memory within 1.6 s, and any other within 16 s. So each spare is primed for
+//! one model and stages another one in the background.
 
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
 use crate::planner::{Command, Order, Planner};
 
 impl Planner {
-    /// Has a host load a model beside what it does, unless it does so already.
+    /// Orders a host to load a model's weights in the background, unless it is already loading.
     pub(super) fn stage(
         &mut self,
         view: &ServiceView<'_>,
@@ -42,19 +42,19 @@
         });
     }
 
-    /// Loads that were ordered and aren't shown to be done.
+    /// Loads that were ordered and have not completed as far as host entries show.
     ///
-    /// Beyond a number of loads at once the weight store makes each take longer: twenty at
-    /// once end after 40 s, the first eight of them after 16 s when the others wait.
+    /// Beyond a number of concurrent loads the weight store slows all of them down: twenty at once
+    /// finish after 40 s, while the first eight finish after 16 s if the others wait.
     pub(super) fn loads_in_progress(&self, view: &ServiceView<'_>) -> usize {
         let is_loading = |(_, until): &&(ModelName, Instant)| view.now < *until;
         self.staging.values().filter(is_loading).count()
     }
 
-    /// Whether `count` loads may start now; counts them if so.
+    /// Reserves `count` loads that start now, if the rate limit permits; returns whether it does.
     ///
-    /// The weight store serves a bounded number of loads, and each one beyond makes all
-    /// slower, so that spares loading at once would delay the replica that waits.
+    /// The weight store serves a limited number of loads and slows down beyond it, so spares that
+    /// load at the same time would delay the replica that waits for its weights.
     pub(super) fn reserve_loads(&mut self, count: usize, view: &ServiceView<'_>) -> bool {
         if count == 0 {
             return true;
@@ -65,7 +65,7 @@
             self.loads.pop_front();
         }
         let permitted = view.engine.loads_per_ks as f64 / 1000.0 * window.as_secs_f64();
-        // What a planner before this one began in the window isn't known.
+        // The loads that the previous planner started in the window are unknown.
         let before = self.term > 1 && now.saturating_duration_since(self.started_at) < window;
         if !view.cold && (before || (self.loads.len() + count) as f64 > permitted) {
             return false;
@@ -74,10 +74,10 @@
         true
     }
 
-    /// Makes a spare a member for one model, in a replica of its own that is never opened.
+    /// Primes a spare for one model by joining it to a replica of its own that is never opened.
     ///
-    /// A host joins in 0.2 s the model that it was last a member for, whatever weights
-    /// its memory holds by now.
+    /// A host rejoins the model that it was last a member for in 0.2 s, whatever weights its memory
+    /// holds by then.
     pub(super) fn prime_spare(
         &mut self,
         view: &ServiceView<'_>,
@@ -98,12 +98,12 @@
         }
     }
 
-    /// Has primed spares load another model as well, so that each can replace a member of
-    /// any model: within 0.2 s for one and 1.6 s for the other.
+    /// Stages a second model on primed spares, so that each can replace a member of either model:
+    /// within 0.2 s for one and 1.6 s for the other.
     ///
-    /// With one model a spare, the second loss of the same model in a domain would wait
-    /// 16 s for a load. A domain's spares beyond one a model, and spares while half of the
-    /// weight store's loads are under way, are left alone: what is missing loads first.
+    /// With one model per spare, the second loss of the same model in a domain would wait 16 s for
+    /// a load. Nothing is staged if the domain has more spares than models, or while half of the
+    /// weight store's concurrent loads are in progress, so that missing weights load first.
     pub(super) fn stage_spares(
         &mut self,
         view: &ServiceView<'_>,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Has a spare join a replica of its own.
+    /// Creates the priming formation of a spare.
     fn prime(&mut self, view: &ServiceView<'_>, host: &Host, model: &ModelSpec) {
         if self.formation_of(&host.id).is_some() {
             return;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// The model with the most members in this domain for each spare that could replace one.
+    /// The model with the most members per primed spare in this domain.
     fn choose_model_to_prime<'e>(
         &self,
         view: &ServiceView<'e>,
@@ -180,7 +180,7 @@
         models.max_by(|a, b| need(a).total_cmp(&need(b)))
     }
 
-    /// The models for which free hosts are primed, or about to be.
+    /// The models for which free hosts are primed or being primed.
     fn spares(&self, unbound: &[&Host]) -> Vec<ModelName> {
         let models = unbound.iter().filter_map(|host| {
             let priming = self.formation_of(&host.id).map(|f| f.model.clone());
--- a/crates/fleet/src/planner/rejecting.rs
+++ b/crates/fleet/src/planner/rejecting.rs
@@ -1,4 +1,4 @@
-//! Heads that reject their requests, whose place another member takes.
+//! Replacement of heads that reject requests by another member.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,21 +9,21 @@
 use crate::planner::advance::PlanInput;
 use crate::planner::formation::{Formation, FormationPhase};
 
-/// How long a head rejects requests before its replica is formed anew: heads that are only
-/// full for a moment must not be given up.
+/// How long a head must reject requests before its replica is formed anew. Heads that are only
+/// briefly full must not be replaced.
 const MIN_REJECTING_TIME: Duration = Duration::from_millis(700);
-/// A head that was not reported for this long has accepted requests since.
+/// A head that was not reported for this long counts as having accepted requests again.
 const MAX_REPORT_GAP: Duration = Duration::from_secs(1);
-/// How long a host that rejected requests is no head while there are other members.
+/// How long a host that rejected requests is not chosen as head if there are other members.
 const UNFIT_HEAD_PERIOD: Duration = Duration::from_secs(10);
 
-/// Hosts that reject requests, as schedulers report them.
+/// Hosts that schedulers report as rejecting requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct RejectingHosts {
     hosts: BTreeMap<HostId, RejectionSpan>,
 }
 
-/// When a host was first and last reported without a gap.
+/// First and last report of a host in an uninterrupted series.
 #[derive(Clone, Copy, Debug)]
 struct RejectionSpan {
     first: Instant,
@@ -44,7 +44,7 @@
             .retain(|_, s| now.saturating_duration_since(s.last) < UNFIT_HEAD_PERIOD);
     }
 
-    /// Whether a host has rejected requests for so long that it should be no head.
+    /// Whether a host has rejected requests for too long to be a head.
     pub(super) fn is_unfit_head(&self, host: &str) -> bool {
         let span = self.hosts.get(host);
         span.is_some_and(|s| s.last.saturating_duration_since(s.first) >= MIN_REJECTING_TIME)
@@ -58,15 +58,15 @@
 }
 
 impl Planner {
-    /// Notes that a head rejects all requests although it has room.
+    /// Records that a head rejects all requests although it has free slots.
     pub fn on_head_rejecting(&mut self, head: &HostId, now: Instant) {
         self.rejecting.record(head, now);
     }
 
     /// Whether a replica should be formed anew with another head.
     ///
-    /// One at a time in a fabric domain: where heads reject for a reason that all share, the
-    /// others go on with what they accept.
+    /// Only one replica at a time per fabric domain: if all heads reject for a shared reason, the
+    /// others continue with the requests that they accept.
     pub(super) fn needs_another_head(&self, f: &Formation, input: &PlanInput<'_>) -> bool {
         let Some(head) = f
             .head()
--- a/crates/fleet/src/planner/send.rs
+++ b/crates/fleet/src/planner/send.rs
@@ -1,4 +1,4 @@
-//! Sending orders and questions, each no more often than its interval.
+//! Rate-limited sending of orders and queries.
 
 use std::time::{Duration, Instant};
 
@@ -11,8 +11,8 @@
 use crate::planner::order::{Command, Order};
 use crate::planner::{MessageKind, Planner};
 
-/// Most hosts that are asked in one step because nothing is known of them. Answers wake the
-/// planner within milliseconds, so 900 hosts take well under a second.
+/// Maximum number of hosts with unknown membership that are queried per planning pass. Answers
+/// wake the planner within milliseconds, so 900 hosts take well under a second.
 const MAX_UNKNOWN_QUERIES: usize = 64;
 
 impl Planner {
@@ -31,7 +31,7 @@
         self.send_at_interval(leave, f, member, interval, now, commands);
     }
 
-    /// Orders a host to join, once it is sure that this tears no other replica apart.
+    /// Orders a host to join, once this can't break another replica.
     pub(super) fn order_to_join(
         &mut self,
         f: &Formation,
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Asks hosts that could join something if this planner knew what they belong to.
+    /// Queries usable hosts whose membership is unknown.
     pub(super) fn query_unknown(
         &mut self,
         fleet: &Fleet,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Asks hosts that left an order unanswered, until they answer or count as silent.
+    /// Queries hosts that did not answer an order, until they answer or count as silent.
     pub(super) fn query_pending(
         &mut self,
         fleet: &Fleet,
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Asks silent hosts that are still listed: one that was only cut off must not be
-    /// lost as a spare.
+    /// Queries silent hosts that are still listed: a host that was only partitioned must become
+    /// usable again.
     pub(super) fn query_silent(
         &mut self,
         fleet: &Fleet,
@@ -158,10 +158,11 @@
         }
     }
 
-    /// Whether it is time to send this to the host again.
+    /// Whether the interval since this message was last sent to the host has passed; records the
+    /// message if so.
     ///
-    /// An answer alone is no reason: each wakes the planner, which would send the order
-    /// again at once for as long as the host's entry lags behind.
+    /// An answer does not reset the interval: each one wakes the planner, which would resend the
+    /// order immediately for as long as the host's entry lags.
     pub(super) fn should_send(
         &mut self,
         host: &HostId,
--- a/crates/fleet/src/planner/serving.rs
+++ b/crates/fleet/src/planner/serving.rs
@@ -1,4 +1,4 @@
-//! How many replicas of each model serve or are about to.
+//! Counts of the replicas of each model that serve or are about to.
 
 use std::collections::HashMap;
 
@@ -10,8 +10,8 @@
 
 /// Counts of serving replicas, by model and fabric domain.
 ///
-/// Counted once a step: each domain's decisions compare the counts of all models several
-/// times, and a search through all formations for each would cost the square of their number.
+/// Computed once per planning pass: decisions in each domain compare the counts of all models
+/// several times, and scanning all formations each time would make a pass quadratic.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServingCounts {
     in_domain: HashMap<FabricDomain, HashMap<ModelKey, usize>>,
--- a/crates/fleet/src/rate.rs
+++ b/crates/fleet/src/rate.rs
@@ -1,27 +1,27 @@
-//! How often something happens, as it was lately.
+//! Exponentially decaying event rate.
 
 use std::time::{Duration, Instant};
 
-/// Events weigh less and less with their age; one this old weighs 0.37 of a new one.
-/// Requests of one node come some ten a second, so that fewer seconds would show chance.
+/// Time constant of the decay: an event of this age has 0.37 of its initial weight. A node receives
+/// about ten requests a second, so a shorter time would make the rate too noisy.
 const MEMORY: Duration = Duration::from_secs(2);
 
-/// A rate of events, by a moving average over some [`MEMORY`].
+/// Rate of events, as an exponential moving average with time constant [`MEMORY`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
-    /// Weighted count of events at `at`.
+    /// Decayed count of events as of `at`.
     weight: f64,
     at: Option<Instant>,
 }
 
 impl Rate {
-    /// Notes an event.
+    /// Records an event.
     pub fn on_event(&mut self, now: Instant) {
         self.weight = self.weight_at(now) + 1.0;
         self.at = Some(now);
     }
 
-    /// Events a second.
+    /// Events per second.
     pub fn per_second(&self, now: Instant) -> f64 {
         self.weight_at(now) / MEMORY.as_secs_f64()
     }
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -1,8 +1,8 @@
-//! Having the platform's lists from other nodes.
+//! Distribution of the platform's lists between nodes.
 //!
-//! The load it answers: many nodes that follow the same lists. Each would ask the platform's
-//! store for every change, so that its calls grow with nodes times changes: 17,737 calls in
-//! 48 s with 74 nodes and 225 hosts, and 1,419 where they have them from each other.
+//! Designed for many nodes that follow the same lists. If each read every change from the
+//! platform's store, the store's calls would grow with nodes times changes: 17,737 calls in 48 s
+//! with 74 nodes and 225 hosts, against 1,419 if nodes get the lists from each other.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -11,35 +11,35 @@
 
 use crate::roles::{RoleCandidate, ranked_for_role};
 
-/// How long changes are kept for nodes that lag behind. They ask twice a second; one that
-/// stood still for longer gets the whole list.
+/// How long changes are kept for nodes that lag behind. Nodes poll twice a second; one that was
+/// stalled for longer gets the full list.
 const HISTORY: Duration = Duration::from_secs(5);
-/// Most nodes of a failure domain that one node tells the lists by itself.
+/// Maximum number of nodes of a failure domain that poll one node directly.
 const MAX_CHILDREN: usize = 128;
-/// Between the first reads of two nodes of a failure domain that start together: a third of the time
-/// that a read of the whole list takes.
+/// Between the first reads of two nodes of a failure domain that start together: a third of the
+/// time that a read of the whole list takes.
 const READ_SPACING: Duration = Duration::from_millis(30);
-/// A node that has no copy by then reads the store, whatever the others do.
+/// A node that has no copy by then reads the store regardless of other nodes.
 const MAX_READ_DELAY: Duration = Duration::from_millis(1000);
 
 value! { copy
-    /// From whom a node has the lists.
+    /// The node from which another node gets the lists.
     pub struct ListParent<'n> {
-        /// The node to ask.
+        /// The node to poll.
         pub node: &'n NodeId,
-        /// Whether nodes that others have the lists from ask it in turn. They ask more often, since
-        /// a list is older by one question at each hop.
+        /// Whether the polling node is itself polled by others. Such nodes poll more often, since
+        /// each hop adds a polling interval to the age of the list.
         pub is_inner: bool,
     }
 }
 
-/// The node from which `me` has the lists; `None` where it reads them itself.
+/// The node from which `me` gets the lists; `None` if it reads the store.
 ///
-/// The `holder` of the planner's lease reads the store: it acts on what it reads. One node of
-/// each failure domain asks the holder, and the others of the domain that one, so that the
-/// store's calls don't grow with the number of nodes and few bytes cross between domains. In a
-/// domain of more than [`MAX_CHILDREN`] nodes some, the square root of their number, ask that one,
-/// and each other node one of those. `others` are the nodes that may have a copy.
+/// The `holder` of the planner's lease reads the store, since it acts on the lists. One node of
+/// each failure domain polls the holder, and the other nodes of the domain poll that node, so that
+/// store calls don't grow with the number of nodes and little traffic crosses domains. In a domain
+/// of more than [`MAX_CHILDREN`] nodes, the square root of their number poll that node, and each
+/// remaining node polls one of those. `others` are the nodes that may have a copy.
 pub fn list_parent<'n>(
     me: RoleCandidate<'n>,
     holder: Option<&'n NodeId>,
@@ -87,8 +87,9 @@
     Some(chosen.map_or(at_root, at_relay))
 }
 
-/// The node that a node without lists asks for its first copy: one of its own failure domain, or any
-/// where it knows none there. `pick` is any number from 0 up to 1; nodes must not draw the same.
+/// The node that a node without lists asks for its first copy: one of its own failure domain, or
+/// any where it knows none there. `pick` is any number from 0 up to 1; nodes must not draw the
+/// same.
 pub fn initial_sync_source<'n>(
     me: RoleCandidate<'n>,
     others: impl IntoIterator<Item = RoleCandidate<'n>>,
@@ -101,10 +102,11 @@
     choices.get(index).map(|other| other.id)
 }
 
-/// How long a node without lists leaves the store to others, beyond what any node waits.
+/// Additional delay before a node without lists reads the store.
 ///
-/// Nodes that start together know each other before they have lists. One of each failure domain
-/// reads the store first, the next one [`READ_SPACING`] later, and so on until copies are there.
+/// Nodes that start together know each other before they have lists. One node of each failure
+/// domain reads the store first, the next one [`READ_SPACING`] later, and so on until a copy is
+/// available.
 pub fn initial_read_delay<'n>(
     me: RoleCandidate<'n>,
     others: impl IntoIterator<Item = RoleCandidate<'n>>,
@@ -112,18 +114,18 @@
     let near = others.into_iter();
     let near = near.filter(|other| other.failure_domain == me.failure_domain);
     let ranked = ranked_for_role(me.failure_domain, None, near.chain([me]));
-    // Those that are too weak for a role read last.
+    // Nodes with too little processor for a role read last.
     let rank = ranked.iter().position(|id| *id == me.id);
     let rank = u32::try_from(rank.unwrap_or(ranked.len())).unwrap_or(u32::MAX);
     READ_SPACING.saturating_mul(rank).min(MAX_READ_DELAY)
 }
 
 value! {
-    /// What brings a node that has a list up to some version up to date.
+    /// Update for a node that has a list up to some version.
     pub enum SyncUpdate {
-        /// These changes, in order.
+        /// The missing changes, in order.
         Delta(Vec<Vec<u8>>),
-        /// More than is kept: the whole list has to be told.
+        /// The changes are no longer kept; the full list must be sent.
         Snapshot,
     }
 }
@@ -136,30 +138,30 @@
     changes: Vec<Vec<u8>>,
 }
 
-/// The latest changes of a list, as this node learned of them.
+/// Recent changes of a list, in the order in which this node received them.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
-    /// Who has this version lacks nothing older than `batches`.
+    /// The version before the oldest change in `batches`.
     from: u64,
-    /// Invariant: in the order of their versions.
+    /// Invariant: sorted by version.
     batches: VecDeque<Batch>,
     version: u64,
-    /// When the list is known to have been as it is here.
+    /// The last time at which this version is known to have been current.
     as_of: Option<Instant>,
 }
 
 impl ChangeLog {
-    /// The list's version here; 0 for none.
+    /// The list's version at this node; 0 for none.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// For how long nothing is known of the list; `None` where nothing ever was.
+    /// Age of the list's content; `None` if the list was never read.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         self.as_of.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Takes the changes up to `version`, as the list was at `as_of`.
+    /// Appends the changes up to `version`, which was current at `as_of`.
     pub fn append(&mut self, changes: Vec<Vec<u8>>, version: u64, as_of: Instant, now: Instant) {
         self.seen(version, as_of);
         if !changes.is_empty() {
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Notes that the whole list was read: no change before `version` is known.
+    /// Records that the full list was read; changes before `version` are unknown.
     pub fn reset(&mut self, version: u64, as_of: Instant) {
         self.batches.clear();
         self.from = version;
@@ -188,10 +190,10 @@
         self.as_of = self.as_of.max(Some(as_of));
     }
 
-    /// What a node lacks that has the list up to `since`.
+    /// The update for a node that has the list up to `since`.
     ///
-    /// A batch whose beginning the node has already is told whole: taken in order, its
-    /// changes lead to the same end.
+    /// A batch that the node has partly received is sent in full: reapplying its changes in order
+    /// gives the same result.
     pub fn changes_since(&self, since: u64) -> SyncUpdate {
         if since < self.from || since == 0 || self.as_of.is_none() {
             return SyncUpdate::Snapshot;
--- a/crates/fleet/src/retry.rs
+++ b/crates/fleet/src/retry.rs
@@ -1,50 +1,49 @@
-//! How much is sent a second time, over all nodes together.
+//! Retry budget, shared by all nodes.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::value;
 
-/// Part of the permitted repeats that is used. The rest covers that nodes don't see the
-/// same number of nodes at the same moment, and that callers' requests come unevenly.
+/// Fraction of the permitted retries that is used. The rest is a margin for nodes that see
+/// different numbers of nodes, and for uneven request rates.
 const USED_PART: f64 = 0.8;
 
 value! { copy
-    /// A node's part of the retry budget, over the last window.
+    /// A node's share of the retry budget in the current window.
     pub struct RetryBudget {
-        /// Callers' requests.
+        /// Requests of callers.
         pub requests: usize,
-        /// Repeats taken from the budget.
+        /// Retries taken from the budget.
         pub retries: usize,
-        /// Repeats that the budget permits.
+        /// Retries that the budget permits.
         pub permitted: usize,
     }
 }
 
-/// A sliding window over the requests and repeats of one service at this node.
+/// Sliding window over the requests and retries of one service at this node.
 ///
-/// The bound holds for all nodes together: `ratio` x requests + `slack` in any window.
-/// Requests add up over nodes, so each node may use `ratio` of its own; the slack is
-/// divided by the number of nodes. No message between nodes is needed.
+/// The limit applies to all nodes together: `ratio` x requests + `slack` in any window. Requests
+/// add up over nodes, so each node may use `ratio` of its own; the slack is divided by the number
+/// of nodes. The nodes need not communicate.
 ///
-/// In the first window after a restart a node uses none of the slack. Before it was started
-/// another node, or itself, may have used its part in the same window, and it doesn't know
-/// yet how many others there are: of 74 nodes that were killed and started again together
-/// each would take the whole slack for itself.
+/// In the first window after a restart a node uses none of the slack. Its share may have been used
+/// in the same window, by another node or by itself before the restart, and it doesn't know yet how
+/// many other nodes there are: if 74 nodes were restarted together, each would use the whole slack.
 #[derive(Clone, Debug)]
 pub struct RetryWindow {
     window: Duration,
     ratio: f64,
     slack: f64,
-    /// When the node started, if the system had run before.
+    /// When the node started; `None` at the first start of the whole system.
     restarted: Option<Instant>,
     requests: VecDeque<Instant>,
     repeats: VecDeque<Instant>,
 }
 
 impl RetryWindow {
-    /// An empty window. `restarted` is when the node started, unless the whole system started
-    /// then for the first time.
+    /// Creates an empty window. `restarted` is when the node started; `None` at the first start of
+    /// the whole system.
     pub fn new(
         window: Duration,
         ratio: f64,
@@ -61,13 +60,13 @@
         }
     }
 
-    /// Notes a request of a caller.
+    /// Records a request of a caller.
     pub fn on_request(&mut self, now: Instant) {
         self.forget_old(now);
         self.requests.push_back(now);
     }
 
-    /// Takes one repeat from the budget, if there is one left among `nodes` nodes.
+    /// Takes one retry from this node's share of the budget among `nodes` nodes, if one is left.
     pub fn try_retry(&mut self, nodes: usize, now: Instant) -> bool {
         let budget = self.budget(nodes, now);
         let left = budget.retries < budget.permitted;
@@ -77,7 +76,7 @@
         left
     }
 
-    /// This node's part of the budget among `nodes` nodes.
+    /// This node's share of the budget among `nodes` nodes.
     pub fn budget(&mut self, nodes: usize, now: Instant) -> RetryBudget {
         self.forget_old(now);
         let own_slack = self.slack_at(now) / nodes.max(1) as f64;
@@ -89,7 +88,7 @@
         }
     }
 
-    /// The slack that nodes of this one's age may use together.
+    /// The total slack, or zero in the first window after a restart.
     fn slack_at(&self, now: Instant) -> f64 {
         let young = |at: Instant| now.saturating_duration_since(at) < self.window;
         if self.restarted.is_some_and(young) {
--- a/crates/fleet/src/spill.rs
+++ b/crates/fleet/src/spill.rs
@@ -1,16 +1,16 @@
-//! Which failure domain's heads take a request.
+//! Spillover of requests to other failure domains.
 //!
-//! Sized for fleets whose models have many replicas in each failure domain. Bytes between
-//! failure domains are dear and each head that a node uses costs it a connection, so that a
-//! node stays with the heads of its own domain until they are fuller than the others.
+//! Designed for fleets whose models have many replicas in each failure domain. Traffic between
+//! failure domains is expensive and each head that a node uses costs a connection, so a node uses
+//! the heads of its own domain until they are more loaded than the others.
 
 use eelgrassmill_base::{FailureDomain, value};
 
-/// A home domain that is this much fuller than the others, in requests for each slot, begins
-/// to send requests to them.
+/// Excess load of the home domain over the others, in requests per slot, at which requests start
+/// to spill over.
 const SPILL_FROM: f64 = 0.05;
-/// Beyond that, the difference in fill at which all requests go to other domains. Loads are
-/// reported late: a smaller range makes requests swing from one domain to the other.
+/// Further excess load at which all requests go to other domains. Loads are reported late, so a
+/// smaller range makes load oscillate between domains.
 const SPILL_RANGE: f64 = 0.6;
 
 value! { copy
@@ -20,7 +20,7 @@
         pub failure_domain: &'d FailureDomain,
         /// Requests that they have, as far as this node knows.
         pub load: usize,
-        /// Requests that they run at once.
+        /// Maximum number of concurrent requests.
         pub slots: usize,
     }
 }
@@ -31,10 +31,9 @@
     load as f64 / slots.max(1) as f64
 }
 
-/// The failure domain for a request that came in at `home`; `None` where there is none.
+/// Chooses the failure domain for a request that arrived in `home`; `None` without domains.
 ///
-/// `spill` and `pick` are any numbers from 0 up to 1; nodes that see the same must not draw
-/// the same.
+/// `spill` and `pick` are random numbers in [0, 1), drawn independently by each node.
 pub fn choose_domain<'d>(
     home: &FailureDomain,
     domains: impl IntoIterator<Item = DomainLoad<'d>>,
@@ -47,8 +46,8 @@
     if let Some(own) = near.first().filter(|_| stays) {
         return Some(own.failure_domain);
     }
-    // By slots, not by free ones: a domain that is fuller than the others sends on in turn, while
-    // all nodes that send to the emptiest one by the same late report overfill it.
+    // Weighted by all slots, not by free ones: an overloaded domain spills over in turn, but if all
+    // nodes sent to the least loaded domain of the same late report, they would overload it.
     let slots: usize = far.iter().map(|d| d.slots).sum();
     let mut left = pick * slots as f64;
     for domain in &far {
--- a/crates/fleet/src/stall.rs
+++ b/crates/fleet/src/stall.rs
@@ -1,17 +1,17 @@
-//! Noticing that a replica stands still.
+//! Detection of stalled replicas.
 
 use std::time::{Duration, Instant};
 
 use eelgrassmill_base::value;
 
 value! { copy
-    /// When a replica counts as standing still.
+    /// When a replica counts as stalled.
     pub struct StallThreshold {
-        /// Silence of all streams of a replica that is never suspicious. A pass takes
-        /// some 50 ms; a prompt's piece, a lost packet and its repetition about 250 ms.
+        /// A shorter time without an event on any stream never counts as a stall. A pass takes
+        /// about 50 ms; a prompt chunk plus a retransmitted packet about 250 ms.
         pub min_silence: Duration,
-        /// Silence as a multiple of the usual pause, so that a slow replica isn't taken
-        /// for one that stands still.
+        /// Time without an event as a multiple of the average gap between events, so that slow
+        /// replicas don't count as stalled.
         pub gap_factor: u32,
     }
 }
@@ -25,25 +25,25 @@
     }
 }
 
-/// When a replica last gave an event of any stream to this node.
+/// When this node last received an event on any stream of a replica.
 ///
-/// A replica that lost a member gives nothing at all from that moment, on all of its
-/// streams, while its head still accepts requests. That silence is the earliest sign,
-/// seconds before the platform's host list says anything.
+/// A replica that lost a member immediately stops sending events on all streams, while its head
+/// still accepts requests. This is the earliest sign of the loss, seconds before the platform's
+/// host list shows it.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StreamActivity {
-    /// Where its silence counts from: an event, or work after it had none.
+    /// Start of the time without events: the last event, or the first request after being idle.
     last: Option<Instant>,
     event: Option<Instant>,
-    /// Usual pause between two events, a moving average.
+    /// Moving average of the gap between events.
     pause: Duration,
 }
 
-/// Weight of the newest pause in the average, as 1 / this.
+/// Weight of the newest gap in the moving average, as 1 / this.
 const PAUSE_MEMORY: u32 = 8;
 
 impl StreamActivity {
-    /// Notes an event, or that a stream's answer began.
+    /// Records an event, or the start of a stream's response.
     pub fn on_event(&mut self, now: Instant) {
         if let Some(last) = self.last {
             let pause = now.saturating_duration_since(last);
@@ -53,24 +53,25 @@
         self.event = Some(now);
     }
 
-    /// Whether it gave an event so lately that it can't have lost a member, whatever
-    /// another node says.
+    /// Whether it sent an event so recently that it can't have lost a member, whatever another node
+    /// reports.
     ///
-    /// A node that reaches some hosts no more finds their replicas silent. Believed, it
-    /// would have replicas taken apart that serve all other nodes. A loss that is real
-    /// stops the streams of all nodes at once, and is told after [`StallThreshold::floor`] and
-    /// a question, so that the last event is older then.
+    /// A node that can't reach some hosts any more finds their replicas stalled. Without this check
+    /// its reports would dissolve replicas that serve all other nodes. A real loss stops the
+    /// streams of all nodes at once and is reported only after [`StallThreshold::min_silence`] and
+    /// a query, when the last event is older than that.
     pub fn has_recent_event(&self, rule: &StallThreshold, now: Instant) -> bool {
         let lately = |at: Instant| now.saturating_duration_since(at) < rule.min_silence;
         self.event.is_some_and(lately)
     }
 
-    /// Notes that the replica got work after it had none: its silence counts from here.
+    /// Records that the replica got a request after being idle; the time without events starts
+    /// here.
     pub fn on_work_resumed(&mut self, now: Instant) {
         self.last = Some(now);
     }
 
-    /// When it will count as standing still.
+    /// When it will count as stalled unless an event arrives.
     pub fn stalls_at(&self, rule: &StallThreshold) -> Option<Instant> {
         let silence = rule.min_silence.max(self.pause * rule.gap_factor);
         self.last.map(|last| last + silence)
--- a/crates/fleet/tests/relay.rs
+++ b/crates/fleet/tests/relay.rs
@@ -172,8 +172,8 @@
     }
 }
 
-/// Guards against nodes that start together each reading the whole list from the store: however many
-/// they are, no more of a failure domain read before copies are there.
+/// Guards against nodes that start together each reading the whole list from the store: however
+/// many they are, no more of a failure domain read before copies are there.
 #[gtest]
 fn few_nodes_that_start_together_read_the_store_first() {
     let read_time = millis(100);
