--- a/crates/fleet/src/catalog.rs
+++ b/crates/fleet/src/catalog.rs
@@ -1,4 +1,4 @@
-//! The accepted configuration, as requests are routed by it.
+//! The accepted configuration: routes, services, models and callers.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,79 +11,79 @@
 use crate::cold::ColdStart;
 
 value! { copy
-    /// Whether a request may run a second time.
+    /// Whether a request may be executed more than once.
     pub enum RetryPolicy {
-        /// Running twice does no harm.
-        Idempotent,
-        /// It runs at most once for each attempt of its caller.
+    /// Repeated execution is harmless.
+    Idempotent,
+    /// The request is executed at most once per attempt of its caller.
         AtMostOnce,
     }
 }
 
 value! { copy
-    /// What holds for routes whose answers are event streams.
+    /// Rules for routes that respond with event streams.
     pub struct StreamRules {
-        /// A broken stream may go on at another host after its last event.
+        /// Whether a broken stream may resume at another host after its last event.
         pub resumable: bool,
-        /// The longest pause between events with which an answer is still on time.
+        /// Longest gap between events of a response that is on time.
         pub max_event_gap: Duration,
     }
 }
 
 value! {
-    /// Where requests of one host name and path prefix go.
+    /// A route for requests with one host name and path prefix.
     pub struct Route {
         /// Its name, for logs.
         pub name: SmolStr,
-        /// The host name that callers ask for.
+        /// The host name in the request.
         pub host: SmolStr,
-        /// Begins and ends with a slash.
+        /// The path prefix; begins and ends with a slash.
         pub prefix: SmolStr,
-        /// What may be repeated.
+        /// Whether requests may be executed more than once.
         pub retry_policy: RetryPolicy,
-        /// Set on routes that answer with a stream.
+        /// Set for routes that respond with a stream.
         pub stream: Option<StreamRules>,
-        /// The longest time that a caller is kept waiting.
+        /// Timeout of a request.
         pub timeout: Duration,
-        /// Within it an answer is on time.
+        /// A response within this time is on time.
         pub latency_objective: Duration,
         /// 0 is the most urgent.
         pub urgency: u8,
-        /// Most hosts on which one attempt of a caller may run.
+        /// Maximum number of hosts to which one attempt of a caller may be sent.
         pub attempts: u32,
-        /// Callers need no key.
+        /// Whether callers need no key.
         pub public: bool,
         /// Services and their weights. Invariant: never empty.
         pub services: SmallVec<[(ServiceName, u32); 2]>,
     }
 
-    /// One model that a service's hosts can form replicas of.
+    /// A model that a service's hosts can form replicas of.
     pub struct ModelSpec {
         /// Its name.
         pub name: ModelName,
-        /// Hosts of one replica.
+        /// Number of hosts in a replica.
         pub size: usize,
-        /// The model's part of the work, of 1.
+        /// The model's fraction of all work.
         pub share: Millionths,
         /// Time to load its weights from the weight store.
         pub load_time: Duration,
-        /// Time to load its weights from the host's own memory.
+        /// Time to load its weights from the host's memory.
         pub warm_load_time: Duration,
-        /// Factor on all of its replicas' times.
+        /// Factor that scales all times of its replicas.
         pub time_factor: Millionths,
     }
 
-    /// What the hosts of a model service can do.
+    /// Capabilities of the hosts of a model service.
     pub struct Engine {
-        /// Requests that a replica runs at once.
-        pub slots: usize,
-        /// The models. The first is the one with the largest part of the work.
-        pub models: Vec<ModelSpec>,
-        /// Loads from the weight store that may start in a second, in thousandths.
-        pub loads_per_ks: u64,
-        /// Loads under way beyond which each takes longer.
-        pub max_concurrent_loads: usize,
-        /// How fast a replica works whose model's pace is 1.
+    /// Maximum number of concurrent requests of a replica.
+    pub slots: usize,
+    /// The models; the first has the largest share of the work.
+    pub models: Vec<ModelSpec>,
+    /// Maximum rate of loads from the weight store, in loads per 1000 seconds.
+    pub loads_per_ks: u64,
+    /// Number of concurrent loads beyond which each load takes longer.
+    pub max_concurrent_loads: usize,
+    /// Speed of a replica whose model has a time factor of 1.
         pub speed: EngineSpeed,
     }
 
@@ -91,56 +91,57 @@
     pub struct Service {
         /// Its name.
         pub name: ServiceName,
-        /// Connections that one host accepts from all nodes together.
+        /// Maximum number of connections that one host accepts from all nodes together.
         pub max_connections: usize,
-        /// Set where its hosts are cold after a start.
+        /// Set if its hosts are cold after a start.
         pub cold: Option<ColdStart>,
-        /// Set where its hosts form replicas of models.
+        /// Set if its hosts form replicas of models.
         pub engine: Option<Engine>,
     }
 
-    /// What a caller may send, and how long it may take.
+    /// Size limits and timeouts of callers' requests.
     pub struct CallerLimits {
-        /// Bytes of a request's head.
-        pub header_bytes: usize,
-        /// Bytes of a request's body.
-        pub body_bytes: usize,
-        /// Time to send a request's head.
-        pub header_timeout: Duration,
-        /// Idle time after which a connection may be closed.
+    /// Maximum size of a request head in bytes.
+    pub header_bytes: usize,
+    /// Maximum size of a request body in bytes.
+    pub body_bytes: usize,
+    /// Timeout for receiving a request head.
+    pub header_timeout: Duration,
+    /// Idle time after which a connection may be closed.
         pub idle_timeout: Duration,
     }
 
-    /// Who holds a key.
+    /// The owner of an API key.
     pub struct Caller {
-        /// The tenant.
-        pub tenant: TenantId,
-        /// Goes before the route's urgency where it is set.
+    /// The tenant.
+    pub tenant: TenantId,
+    /// Overrides the route's urgency if set.
         pub urgency: Option<u8>,
     }
 }
 
 value! { copy
-    /// How fast a replica reads prompts and writes answers.
+    /// Prefill and decode speed of a replica.
     ///
-    /// It works in passes. A pass that writes takes some steps, each of which adds a token to
-    /// every stream, and reads prompts between them; a stream's events come a pass apart.
+    /// A replica works in passes. A pass consists of several decode steps, each of which adds a
+    /// token to every stream, and prefills prompts between them; a stream's events are one pass
+    /// apart.
     pub struct EngineSpeed {
-        /// A step that writes, with nothing else to do.
+        /// Base time of a decode step.
         pub decode_step: Duration,
-        /// What each request that is written adds to a step.
+        /// Additional time of a decode step per request.
         pub decode_per_request: Duration,
-        /// Steps of a pass.
+        /// Number of decode steps in a pass.
         pub steps_per_pass: u32,
-        /// Time to read a prompt token; zero where it isn't known.
+        /// Time to prefill a prompt token; zero if unknown.
         pub prefill_per_token: Duration,
-        /// Factor on all times.
+        /// Factor that scales all times.
         pub time_factor: Millionths,
     }
 }
 
 impl EngineSpeed {
-    /// A pass that writes `requests` and reads `prompt` tokens beside.
+    /// Duration of a pass that decodes `requests` and prefills `prompt` tokens.
     pub fn pass_time(&self, requests: usize, prompt: u64) -> Duration {
         let requests = u32::try_from(requests).unwrap_or(u32::MAX);
         let writing = (self.decode_step + self.decode_per_request * requests) * self.steps_per_pass;
@@ -150,29 +151,29 @@
 }
 
 value! { copy
-    /// A fraction in millionths, so that values that hold it stay comparable.
+    /// A non-negative number in millionths. Unlike `f64` it implements `Eq` and `Ord`.
     pub struct Millionths(u64);
 }
 
 impl Millionths {
-    /// The nearest number of millionths; negative and undefined numbers give 0.
+    /// Rounds to the nearest millionth; negative numbers and NaN give 0.
     pub fn of(x: f64) -> Millionths {
         Millionths((x.max(0.0) * 1e6).round() as u64)
     }
 
-    /// As a number.
+    /// Converts to a floating-point number.
     pub fn get(self) -> f64 {
         self.0 as f64 / 1e6
     }
 }
 
-/// Why no route takes a request.
+/// Why a request can't be routed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RouteError {
-    /// No route has this host name and path.
+    /// No route matches the host name and path.
     #[error("no route has this host and path")]
     NoRoute,
-    /// The key is missing or belongs to no tenant.
+    /// The API key is missing or unknown.
     #[error("the key is missing or unknown")]
     UnknownKey,
 }
@@ -181,7 +182,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Catalog {
     version: ConfigVersion,
-    /// Routes of a host name, the longest prefix first.
+    /// Routes by host name, the longest prefix first.
     routes: HashMap<SmolStr, Vec<Arc<Route>>>,
     services: HashMap<ServiceName, Service>,
     callers: HashMap<SmolStr, Arc<Caller>>,
@@ -216,12 +217,12 @@
         }
     }
 
-    /// Its version; 0 for none.
+    /// The configuration version; 0 for none.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// The route of the longest prefix that begins `path`.
+    /// The route with the longest prefix of `path`.
     ///
     /// # Errors
     /// [`RouteError::NoRoute`].
@@ -231,7 +232,7 @@
         found.ok_or(RouteError::NoRoute)
     }
 
-    /// Who holds `key`. On a public route a missing or unknown key is nobody's.
+    /// The owner of `key`. On a public route a missing or unknown key gives `None`.
     ///
     /// # Errors
     /// [`RouteError::UnknownKey`].
@@ -252,7 +253,7 @@
         self.services.get(name)
     }
 
-    /// A model of a service, with what the service's hosts can do.
+    /// A model of a service, with the service's engine.
     pub fn model(&self, service: &str, model: &str) -> Option<(&Engine, &ModelSpec)> {
         let engine = self.service(service)?.engine.as_ref()?;
         let spec = engine.models.iter().find(|m| m.name == model)?;
@@ -264,7 +265,7 @@
         self.services.values()
     }
 
-    /// What callers may send.
+    /// Limits of callers' requests.
     pub fn limits(&self) -> Option<&CallerLimits> {
         self.limits.as_ref()
     }
--- a/crates/fleet/src/cold.rs
+++ b/crates/fleet/src/cold.rs
@@ -1,10 +1,9 @@
-//! Hosts that are cold: for some seconds after a start they are slow, and crash under many
-//! requests.
+//! Slow start of cold hosts: for some seconds after a start they are slow, and crash under load.
 //!
-//! Sized for a failure domain whose hosts all come back at once beside full traffic. All nodes
-//! share the bound on a cold host's request rate. A scheduler, which assigns all requests of a
-//! head, counts its grants ([`GrantWindow`]); a node that chooses hosts by itself takes its part of
-//! the bound ([`ColdRateLimiter`]).
+//! Designed for a failure domain whose hosts all come back at once under full traffic. The limit
+//! on a cold host's request rate applies to all nodes together. A scheduler, which assigns all
+//! requests of a head, counts its grants ([`GrantWindow`]); a node that chooses hosts by itself
+//! uses its share of the limit ([`ColdRateLimiter`]).
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -34,8 +33,8 @@
 
 impl ColdStart {
     /// Requests that a scheduler may send to one host within [`WINDOW`].
-    pub(crate) fn grants(&self, began: Instant, now: Instant) -> usize {
-        let is_successor = now.saturating_duration_since(began) < WINDOW;
+    pub(crate) fn grants(&self, started_at: Instant, now: Instant) -> usize {
+        let is_successor = now.saturating_duration_since(started_at) < WINDOW;
         let ratio = if is_successor { SUCCESSOR_RATIO } else { 1.0 };
         (self.max_rate.get() * ratio).floor().max(1.0) as usize
     }
@@ -50,18 +49,22 @@
 
 impl GrantWindow {
     pub(crate) fn on_grant(&mut self, now: Instant) {
-        while self.grants.pop_front_if(|at| is_over(*at, now)).is_some() {}
+        while self
+            .grants
+            .pop_front_if(|at| is_expired(*at, now))
+            .is_some()
+        {}
         self.grants.push_back(now);
     }
 
     /// Number of grants within [`WINDOW`].
     pub(crate) fn count(&self, now: Instant) -> usize {
         let recent = self.grants.iter().rev();
-        recent.take_while(|at| !is_over(**at, now)).count()
+        recent.take_while(|at| !is_expired(**at, now)).count()
     }
 }
 
-fn is_over(at: Instant, now: Instant) -> bool {
+fn is_expired(at: Instant, now: Instant) -> bool {
     now.saturating_duration_since(at) >= WINDOW
 }
 
@@ -87,8 +90,8 @@
     ) -> bool {
         let rate = cold.max_rate.get() * SHARED_RATIO / nodes.max(1) as f64;
         let (tokens, at) = self.tokens.entry(host.clone()).or_insert((draw, now));
-        let earned = rate * now.saturating_duration_since(*at).as_secs_f64();
-        *tokens = (*tokens + earned).min(1.0);
+        let refill = rate * now.saturating_duration_since(*at).as_secs_f64();
+        *tokens = (*tokens + refill).min(1.0);
         *at = now;
         *tokens >= 1.0
     }
@@ -103,7 +106,7 @@
     /// Removes hosts that can't be cold any more, since no request was considered for them for the
     /// whole duration.
     pub fn remove_warm(&mut self, cold: &ColdStart, now: Instant) {
-        let asked = |at: &Instant| now.saturating_duration_since(*at) < cold.duration;
-        self.tokens.retain(|_, (_, at)| asked(at));
+        let is_recent = |at: &Instant| now.saturating_duration_since(*at) < cold.duration;
+        self.tokens.retain(|_, (_, at)| is_recent(at));
     }
 }
--- a/crates/fleet/src/ejection.rs
+++ b/crates/fleet/src/ejection.rs
@@ -1,41 +1,40 @@
 //! Outlier ejection of hosts that reject requests.
 //!
-//! A host that rejects at once has no requests and looks like the emptiest of all, so that it
-//! would be sent most of them. Sized for hosts that reject a part of their requests, or all of
-//! them for seconds, while their health checks pass.
+//! A host that rejects immediately has no running requests and looks like the least loaded one, so
+//! it would receive most requests. Designed for hosts that reject some of their requests, or all
+//! of them for seconds, while their health checks pass.
 
 use std::time::{Duration, Instant};
 
-/// Single requests in a row that a host rejects before it is ejected.
+/// Consecutive rejections after which a host whose limit is one request is ejected.
 const MAX_CONSECUTIVE_REJECTIONS: u32 = 3;
-/// How long it is ejected. Doubles while it accepts nothing.
+/// First ejection period. Doubles for each further ejection until the host accepts a request.
 const EJECTION_PERIOD: Duration = Duration::from_millis(250);
-/// Longest such time.
+/// Longest ejection period.
 const MAX_EJECTION_PERIOD: Duration = Duration::from_secs(1);
-/// For this long after a rejection a host gets only what no other has room for.
+/// For this long after a rejection a host gets only requests that no other host has room for.
 const SUSPICION_PERIOD: Duration = Duration::from_secs(2);
 
-/// What a host's rejections say of it.
+/// Concurrency limit and ejection state of a host, based on its rejections.
 ///
-/// Additive increase, multiplicative decrease: each rejection halves the requests that it may have
-/// without having accepted them, each accepted request adds one. A host that goes on to reject
-/// single requests is ejected for a while.
+/// The limit on requests that the host has not accepted yet follows additive increase,
+/// multiplicative decrease: each rejection halves it, each accepted request adds one. A host that
+/// still rejects requests at a limit of one is ejected for a while.
 #[derive(Clone, Debug, Default)]
 pub struct Ejection {
-    /// Requests that it may have without having accepted them; `None` for any number.
+    /// Maximum number of requests not accepted yet; `None` for no limit.
     limit: Option<usize>,
-    /// Single requests that it has rejected in a row.
+    /// Consecutive rejections at a limit of one.
     consecutive_rejections: u32,
     suspected_until: Option<Instant>,
     backoff: EjectionBackoff,
 }
 
-/// Times for which a host gets nothing, each twice as long as the one before while it accepts
-/// nothing.
+/// Exponential backoff of a host's ejections. The period doubles until the host accepts a request.
 #[derive(Clone, Debug, Default)]
 pub struct EjectionBackoff {
     until: Option<Instant>,
-    /// The last time for which it was ejected; `None` once it has accepted a request since.
+    /// The last ejection period; `None` once the host has accepted a request since.
     period: Option<Duration>,
 }
 
@@ -52,14 +51,14 @@
         self.until = Some(now + period);
     }
 
-    /// Notes that it accepted a request that was sent at `sent`.
+    /// Records that the host accepted a request that was sent at `sent`.
     pub fn accepted(&mut self, sent: Instant) {
         if !self.is_outdated(sent) {
             self.period = None;
         }
     }
 
-    /// Whether the host may be tried.
+    /// Whether the ejection period has passed, so that the host may be tried.
     pub fn is_due(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now >= until)
     }
@@ -69,15 +68,16 @@
         self.period.is_some()
     }
 
-    /// Requests of before the last ejection say nothing of the host since.
+    /// Whether a request was sent before the last ejection ended, so that its outcome doesn't
+    /// reflect the host's current state.
     fn is_outdated(&self, sent: Instant) -> bool {
         self.until.is_some_and(|until| sent < until)
     }
 }
 
 impl Ejection {
-    /// Notes that it rejected a request that was sent at `sent`, one of `unaccepted` that it had
-    /// not yet accepted.
+    /// Records that the host rejected a request that was sent at `sent`, one of `unaccepted` that
+    /// it had not accepted yet.
     pub fn rejected(&mut self, sent: Instant, unaccepted: usize, now: Instant) {
         if self.backoff.is_outdated(sent) {
             return;
@@ -95,7 +95,8 @@
         self.backoff.eject(sent, now);
     }
 
-    /// Notes that it accepted a request that was sent at `sent`. `slots` is what it runs at once.
+    /// Records that the host accepted a request that was sent at `sent`. `slots` is its maximum
+    /// number of concurrent requests.
     pub fn accepted(&mut self, sent: Instant, slots: usize) {
         if self.backoff.is_outdated(sent) {
             return;
@@ -105,7 +106,7 @@
         self.limit = self.limit.map(|l| l + 1).filter(|l| *l <= slots);
     }
 
-    /// Whether it may get a request while it has `unaccepted` that it has not yet accepted.
+    /// Whether the host may get a request while it has not accepted `unaccepted` others yet.
     pub fn admits(&self, unaccepted: usize, now: Instant) -> bool {
         self.backoff.is_due(now) && self.limit.is_none_or(|limit| unaccepted < limit)
     }
@@ -115,7 +116,7 @@
         self.backoff.is_ejected()
     }
 
-    /// Whether it gets only what no other has room for.
+    /// Whether it gets only requests that no other host has room for.
     pub fn is_suspected(&self, now: Instant) -> bool {
         self.suspected_until.is_some_and(|until| now < until)
     }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -11,7 +11,7 @@
 
 /// How long hosts that are missing after a store outage are kept once the store is back. The
 /// platform guarantees that live hosts are listed again within about 2 s.
-const RELIST_TIME: Duration = Duration::from_millis(2000);
+const RELIST_GRACE_PERIOD: Duration = Duration::from_millis(2000);
 
 value! { wire
     /// A change to the host list.
@@ -56,15 +56,15 @@
     missing: BTreeSet<HostId>,
     /// Last listed entries of hosts whose own reports are newer. Invariant: these hosts are in
     /// `hosts`.
-    outdated: BTreeMap<HostId, Host>,
+    superseded: BTreeMap<HostId, Host>,
     /// Evacuated failure domains; `None` until the operator's list was read.
     evacuated: Option<BTreeSet<FailureDomain>>,
     /// When the evacuation of failure domains ended: their hosts may have become cold meanwhile.
-    taken_back: BTreeMap<FailureDomain, Instant>,
+    evacuation_ended: BTreeMap<FailureDomain, Instant>,
     /// Until when hosts are cold according to their entries.
     cold_until: BTreeMap<HostId, Instant>,
     /// End of the grace period in which missing hosts are kept.
-    lenient_until: Option<Instant>,
+    grace_until: Option<Instant>,
     loaded: bool,
 }
 
@@ -103,17 +103,18 @@
             }
             EvacuationChange::Snapshot(domains) => *known = domains,
         }
-        let is_back = |domain: &&FailureDomain| !known.contains(*domain);
-        let back = before.iter().flatten().filter(is_back).cloned();
-        self.taken_back.extend(back.map(|domain| (domain, now)));
+        let is_ended = |domain: &&FailureDomain| !known.contains(*domain);
+        let ended = before.iter().flatten().filter(is_ended).cloned();
+        self.evacuation_ended
+            .extend(ended.map(|domain| (domain, now)));
         self.evacuated != before
     }
 
     /// Until when a host counts as cold; `None` if it isn't known to be cold.
     pub fn cold_until(&self, host: &Host, cold: &ColdStart) -> Option<Instant> {
         let own = self.cold_until.get(&host.id).copied();
-        let back = self.taken_back.get(&host.failure_domain);
-        own.max(back.map(|at| *at + cold.duration))
+        let ended = self.evacuation_ended.get(&host.failure_domain);
+        own.max(ended.map(|at| *at + cold.duration))
     }
 
     /// The hosts.
@@ -132,7 +133,7 @@
             .hosts
             .values()
             .filter(|h| !self.missing.contains(&h.id));
-        listed.map(|h| self.outdated.get(&h.id).unwrap_or(h))
+        listed.map(|h| self.superseded.get(&h.id).unwrap_or(h))
     }
 
     /// Records that the store was unreachable or rejected a request at `now`.
@@ -140,7 +141,7 @@
     /// Entries expire while hosts can't write them, so the first lists after an outage lack healthy
     /// hosts. Without the grace period that this starts, all replicas would be dissolved at once.
     pub fn on_store_failure(&mut self, now: Instant) {
-        self.lenient_until = Some(now + RELIST_TIME);
+        self.grace_until = Some(now + RELIST_GRACE_PERIOD);
     }
 
     /// Applies a change and returns the hosts that are gone.
@@ -148,23 +149,23 @@
         match change {
             FleetChange::Put(host) => {
                 self.missing.remove(&host.id);
-                self.outdated.remove(&host.id);
+                self.superseded.remove(&host.id);
                 self.insert(*host, now);
                 Vec::new()
             }
             FleetChange::Removed(id) => self.remove(id, now).into_iter().collect(),
-            FleetChange::Snapshot(hosts) => self.replace(hosts, now),
+            FleetChange::Snapshot(hosts) => self.apply_snapshot(hosts, now),
         }
     }
 
     /// Removes hosts that are still missing after the grace period, and returns them.
     pub fn expire(&mut self, now: Instant) -> Vec<HostId> {
-        if self.missing.is_empty() || self.is_lenient(now) {
+        if self.missing.is_empty() || self.in_grace_period(now) {
             return Vec::new();
         }
         let gone = std::mem::take(&mut self.missing);
         for id in &gone {
-            self.forget(id);
+            self.discard(id);
         }
         gone.into_iter().collect()
     }
@@ -173,7 +174,7 @@
     pub fn apply_report(&mut self, host: Host) {
         if let Some(known) = self.hosts.get_mut(&host.id) {
             let listed = std::mem::replace(known, host);
-            self.outdated.entry(listed.id.clone()).or_insert(listed);
+            self.superseded.entry(listed.id.clone()).or_insert(listed);
         }
     }
 
@@ -194,12 +195,12 @@
     ///
     /// A host that can't reach the store keeps its stale entry for seconds. Each time the list was
     /// read, its replica would seem to have lost a member and be dissolved while it serves.
-    fn put_again(&mut self, entry: Host, now: Instant) {
+    fn apply_listed(&mut self, entry: Host, now: Instant) {
         self.missing.remove(&entry.id);
-        if self.outdated.get(&entry.id) == Some(&entry) {
+        if self.superseded.get(&entry.id) == Some(&entry) {
             return;
         }
-        self.outdated.remove(&entry.id);
+        self.superseded.remove(&entry.id);
         self.insert(entry, now);
     }
 
@@ -216,10 +217,10 @@
         self.hosts.insert(entry.id.clone(), entry);
     }
 
-    fn forget(&mut self, id: &HostId) {
+    fn discard(&mut self, id: &HostId) {
         self.cold_until.remove(id);
         self.hosts.remove(id);
-        self.outdated.remove(id);
+        self.superseded.remove(id);
     }
 
     /// The replicas that hosts report, each with its listed members.
@@ -242,28 +243,28 @@
         replicas
     }
 
-    fn is_lenient(&self, now: Instant) -> bool {
-        self.lenient_until.is_some_and(|until| now < until)
+    fn in_grace_period(&self, now: Instant) -> bool {
+        self.grace_until.is_some_and(|until| now < until)
     }
 
     fn remove(&mut self, id: HostId, now: Instant) -> Option<HostId> {
         if !self.hosts.contains_key(&id) {
             return None;
         }
-        if self.is_lenient(now) {
+        if self.in_grace_period(now) {
             self.missing.insert(id);
             return None;
         }
         self.missing.remove(&id);
-        self.forget(&id);
+        self.discard(&id);
         Some(id)
     }
 
-    fn replace(&mut self, hosts: Vec<Host>, now: Instant) -> Vec<HostId> {
+    fn apply_snapshot(&mut self, hosts: Vec<Host>, now: Instant) -> Vec<HostId> {
         self.loaded = true;
         let listed: BTreeSet<HostId> = hosts.iter().map(|h| h.id.clone()).collect();
         for host in hosts {
-            self.put_again(host, now);
+            self.apply_listed(host, now);
         }
         let unlisted: Vec<HostId> = self
             .hosts
--- a/crates/fleet/src/patience.rs
+++ b/crates/fleet/src/patience.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// Buckets of the histogram, of equal width.
-const CLASSES: usize = 64;
+const BUCKETS: usize = 64;
 /// Once the histogram counts twice this many requests, all counts are halved.
 const MEMORY: f32 = 256.0;
 /// Number of requests below which [`FIRST_FENCE`] applies.
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct CallerTimeouts {
     /// Requests by fraction.
-    counts: [f32; CLASSES],
+    counts: [f32; BUCKETS],
     /// Invariant: the sum of `counts`.
     total: f32,
 }
@@ -34,18 +34,18 @@
 impl Default for CallerTimeouts {
     fn default() -> CallerTimeouts {
         CallerTimeouts {
-            counts: [0.0; CLASSES],
+            counts: [0.0; BUCKETS],
             total: 0.0,
         }
     }
 }
 
 impl CallerTimeouts {
-    /// Records the timeout of a request on a route with the timeout `usual`.
-    pub fn on_request(&mut self, named: Duration, usual: Duration) {
-        let part = part(named, usual);
-        let class = (part * CLASSES as f64) as usize;
-        self.counts[class.min(CLASSES - 1)] += 1.0;
+    /// Records the timeout of a request on a route with the timeout `route_timeout`.
+    pub fn on_request(&mut self, timeout: Duration, route_timeout: Duration) {
+        let fraction = fraction(timeout, route_timeout);
+        let bucket = (fraction * BUCKETS as f64) as usize;
+        self.counts[bucket.min(BUCKETS - 1)] += 1.0;
         self.total += 1.0;
         if self.total >= 2.0 * MEMORY {
             self.counts.iter_mut().for_each(|count| *count /= 2.0);
@@ -53,14 +53,14 @@
         }
     }
 
-    /// Estimated time since the first attempt of a caller whose request has the timeout `named`;
+    /// Estimated time since the first attempt of a caller whose request has the timeout `timeout`;
     /// zero if this may be the first attempt.
-    pub fn since_first_attempt(&self, named: Duration, usual: Duration) -> Duration {
-        let part = part(named, usual);
-        if part >= self.fence() {
+    pub fn since_first_attempt(&self, timeout: Duration, route_timeout: Duration) -> Duration {
+        let fraction = fraction(timeout, route_timeout);
+        if fraction >= self.fence() {
             return Duration::ZERO;
         }
-        usual.mul_f64((self.quantile(0.5) - part).max(0.0))
+        route_timeout.mul_f64((self.quantile(0.5) - fraction).max(0.0))
     }
 
     /// Fraction of the route's timeout below which a timeout is the remainder of a longer one.
@@ -78,11 +78,11 @@
         }
         let wanted = f64::from(self.total) * of;
         let mut below = 0.0;
-        for (class, count) in self.counts.iter().enumerate() {
+        for (bucket, count) in self.counts.iter().enumerate() {
             let count = f64::from(*count);
             if count > 0.0 && below + count >= wanted {
                 let within = (wanted - below) / count;
-                return (class as f64 + within) / CLASSES as f64;
+                return (bucket as f64 + within) / BUCKETS as f64;
             }
             below += count;
         }
@@ -90,6 +90,6 @@
     }
 }
 
-fn part(named: Duration, usual: Duration) -> f64 {
-    named.as_secs_f64() / usual.as_secs_f64().max(f64::EPSILON)
+fn fraction(timeout: Duration, route_timeout: Duration) -> f64 {
+    timeout.as_secs_f64() / route_timeout.as_secs_f64().max(f64::EPSILON)
 }
--- a/crates/fleet/src/place.rs
+++ b/crates/fleet/src/place.rs
@@ -3,7 +3,7 @@
 use eelgrassmill_base::{HostId, value};
 
 /// Cost of a host in another failure domain, in requests per slot.
-const DISTANCE: f64 = 0.25;
+const CROSS_DOMAIN_COST: f64 = 0.25;
 
 value! {
     /// A host that could run a request.
@@ -24,7 +24,11 @@
 impl HostCandidate {
     fn cost(&self) -> f64 {
         let fill = (self.load + 1) as f64 / self.slots.max(1) as f64;
-        let distance = if self.same_domain { 0.0 } else { DISTANCE };
+        let distance = if self.same_domain {
+            0.0
+        } else {
+            CROSS_DOMAIN_COST
+        };
         let failing = f64::from(self.failure_permille) / 250.0;
         fill + distance + failing
     }
@@ -32,9 +36,9 @@
 
 /// Weight of an unseen request. While they were sent about as many requests ended, which the
 /// reported loads still include.
-const TURNOVER: f64 = 2.0;
+const UNSEEN_WEIGHT: f64 = 2.0;
 /// Costs that differ by less than this count as equal.
-const SAME: f64 = 1e-9;
+const COST_EPSILON: f64 = 1e-9;
 
 /// Chooses the host for a request: the least loaded, preferring this node's failure domain.
 ///
@@ -53,19 +57,19 @@
     let mut open: Vec<(f64, &HostCandidate)> =
         candidates.into_iter().map(|c| (c.cost(), c)).collect();
     open.sort_by(|a, b| a.0.total_cmp(&b.0));
-    let level = level(&open, unseen * TURNOVER);
-    let part = |(cost, c): &(f64, &HostCandidate)| {
-        if *cost > level + SAME {
+    let level = level(&open, unseen * UNSEEN_WEIGHT);
+    let weight = |(cost, c): &(f64, &HostCandidate)| {
+        if *cost > level + COST_EPSILON {
             return 0.0;
         }
         // If nothing is unseen, hosts with equal cost are equally likely.
-        (level - cost).max(SAME) * c.slots.max(1) as f64
+        (level - cost).max(COST_EPSILON) * c.slots.max(1) as f64
     };
-    let total: f64 = open.iter().map(part).sum();
-    let mut at = pick * total;
+    let total: f64 = open.iter().map(weight).sum();
+    let mut remaining = pick * total;
     for entry in &open {
-        at -= part(entry);
-        if at < 0.0 {
+        remaining -= weight(entry);
+        if remaining < 0.0 {
             return Some(entry.1);
         }
     }
--- a/crates/fleet/src/planner/choose.rs
+++ b/crates/fleet/src/planner/choose.rs
@@ -313,8 +313,8 @@
         }
         match self.staging.get(&host.id) {
             Some((staging, until)) if *staging == model.name => {
-                let began_to_end = model.load_time * (STAGE_TIMEOUT_FACTOR - 1);
-                let end = *until - began_to_end;
+                let timeout_margin = model.load_time * (STAGE_TIMEOUT_FACTOR - 1);
+                let end = *until - timeout_margin;
                 end.saturating_duration_since(now) + model.warm_load_time
             }
             _ => model.load_time + model.warm_load_time,
--- a/crates/fleet/src/planner/knowledge.rs
+++ b/crates/fleet/src/planner/knowledge.rs
@@ -111,8 +111,8 @@
     /// A host that left may execute an earlier order to join seconds later and become a member
     /// again. Its entry shows that late, and not at all during a store outage.
     pub(super) fn must_query_first(&self, host: &HostId, now: Instant) -> bool {
-        let lately = |since: Instant| now.saturating_duration_since(since) < MAX_ORDER_DELAY;
-        let by_others = self.term > 1 && lately(self.started_at);
+        let is_recent = |since: Instant| now.saturating_duration_since(since) < MAX_ORDER_DELAY;
+        let by_others = self.term > 1 && is_recent(self.started_at);
         if !by_others && !self.unconfirmed_orders.contains_key(host) {
             return false;
         }
--- a/crates/fleet/src/rate.rs
+++ b/crates/fleet/src/rate.rs
@@ -4,9 +4,9 @@
 
 /// Time constant of the decay: an event of this age has 0.37 of its initial weight. A node receives
 /// about ten requests a second, so a shorter time would make the rate too noisy.
-const MEMORY: Duration = Duration::from_secs(2);
+const TIME_CONSTANT: Duration = Duration::from_secs(2);
 
-/// Rate of events, as an exponential moving average with time constant [`MEMORY`].
+/// Rate of events, as an exponential moving average with time constant [`TIME_CONSTANT`].
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Rate {
     /// Decayed count of events as of `at`.
@@ -23,12 +23,12 @@
 
     /// Events per second.
     pub fn per_second(&self, now: Instant) -> f64 {
-        self.weight_at(now) / MEMORY.as_secs_f64()
+        self.weight_at(now) / TIME_CONSTANT.as_secs_f64()
     }
 
     fn weight_at(&self, now: Instant) -> f64 {
         let age = self.at.map_or(0.0, |at| {
-            now.saturating_duration_since(at).as_secs_f64() / MEMORY.as_secs_f64()
+            now.saturating_duration_since(at).as_secs_f64() / TIME_CONSTANT.as_secs_f64()
         });
         self.weight * (-age).exp()
     }
--- a/crates/fleet/src/relay.rs
+++ b/crates/fleet/src/relay.rs
@@ -13,11 +13,11 @@
 
 /// How long changes are kept for nodes that lag behind. Nodes poll twice a second; one that was
 /// stalled for longer gets the full list.
-const HISTORY: Duration = Duration::from_secs(5);
+const CHANGE_TTL: Duration = Duration::from_secs(5);
 /// Maximum number of nodes of a failure domain that poll one node directly.
 const MAX_CHILDREN: usize = 128;
-/// Between the first reads of two nodes of a failure domain that start together: a third of the
-/// time that a read of the whole list takes.
+/// Delay between the first store reads of nodes of a failure domain that start together: a third
+/// of the time that a read of the full list takes.
 const READ_SPACING: Duration = Duration::from_millis(30);
 /// A node that has no copy by then reads the store regardless of other nodes.
 const MAX_READ_DELAY: Duration = Duration::from_millis(1000);
@@ -87,9 +87,9 @@
     Some(chosen.map_or(at_root, at_relay))
 }
 
-/// The node that a node without lists asks for its first copy: one of its own failure domain, or
-/// any where it knows none there. `pick` is any number from 0 up to 1; nodes must not draw the
-/// same.
+/// The node from which a node without lists requests its first copy: one of its own failure
+/// domain, or any if it knows none there. `pick` is a random number in [0, 1), drawn independently
+/// by each node.
 pub fn initial_sync_source<'n>(
     me: RoleCandidate<'n>,
     others: impl IntoIterator<Item = RoleCandidate<'n>>,
@@ -142,7 +142,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     /// The version before the oldest change in `batches`.
-    from: u64,
+    base_version: u64,
     /// Invariant: sorted by version.
     batches: VecDeque<Batch>,
     version: u64,
@@ -163,7 +163,7 @@
 
     /// Appends the changes up to `version`, which was current at `as_of`.
     pub fn append(&mut self, changes: Vec<Vec<u8>>, version: u64, as_of: Instant, now: Instant) {
-        self.seen(version, as_of);
+        self.advance(version, as_of);
         if !changes.is_empty() {
             let at = now;
             self.batches.push_back(Batch {
@@ -172,20 +172,20 @@
                 changes,
             });
         }
-        let old = |b: &Batch| now.saturating_duration_since(b.at) > HISTORY;
+        let old = |b: &Batch| now.saturating_duration_since(b.at) > CHANGE_TTL;
         while let Some(batch) = self.batches.pop_front_if(|b| old(b)) {
-            self.from = batch.version;
+            self.base_version = batch.version;
         }
     }
 
     /// Records that the full list was read; changes before `version` are unknown.
     pub fn reset(&mut self, version: u64, as_of: Instant) {
         self.batches.clear();
-        self.from = version;
-        self.seen(version, as_of);
+        self.base_version = version;
+        self.advance(version, as_of);
     }
 
-    fn seen(&mut self, version: u64, as_of: Instant) {
+    fn advance(&mut self, version: u64, as_of: Instant) {
         self.version = self.version.max(version);
         self.as_of = self.as_of.max(Some(as_of));
     }
@@ -195,7 +195,7 @@
     /// A batch that the node has partly received is sent in full: reapplying its changes in order
     /// gives the same result.
     pub fn changes_since(&self, since: u64) -> SyncUpdate {
-        if since < self.from || since == 0 || self.as_of.is_none() {
+        if since < self.base_version || since == 0 || self.as_of.is_none() {
             return SyncUpdate::Snapshot;
         }
         let newer = self.batches.iter().filter(|b| b.version > since);
--- a/crates/fleet/src/retry.rs
+++ b/crates/fleet/src/retry.rs
@@ -7,7 +7,7 @@
 
 /// Fraction of the permitted retries that is used. The rest is a margin for nodes that see
 /// different numbers of nodes, and for uneven request rates.
-const USED_PART: f64 = 0.8;
+const UTILIZATION_RATIO: f64 = 0.8;
 
 value! { copy
     /// A node's share of the retry budget in the current window.
@@ -38,7 +38,7 @@
     /// When the node started; `None` at the first start of the whole system.
     restarted: Option<Instant>,
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl RetryWindow {
@@ -56,13 +56,13 @@
             slack,
             restarted,
             requests: VecDeque::new(),
-            repeats: VecDeque::new(),
+            retries: VecDeque::new(),
         }
     }
 
     /// Records a request of a caller.
     pub fn on_request(&mut self, now: Instant) {
-        self.forget_old(now);
+        self.remove_expired(now);
         self.requests.push_back(now);
     }
 
@@ -71,20 +71,20 @@
         let budget = self.budget(nodes, now);
         let left = budget.retries < budget.permitted;
         if left {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         left
     }
 
     /// This node's share of the budget among `nodes` nodes.
     pub fn budget(&mut self, nodes: usize, now: Instant) -> RetryBudget {
-        self.forget_old(now);
+        self.remove_expired(now);
         let own_slack = self.slack_at(now) / nodes.max(1) as f64;
         let permitted = self.ratio * self.requests.len() as f64 + own_slack;
         RetryBudget {
             requests: self.requests.len(),
-            retries: self.repeats.len(),
-            permitted: (USED_PART * permitted) as usize,
+            retries: self.retries.len(),
+            permitted: (UTILIZATION_RATIO * permitted) as usize,
         }
     }
 
@@ -98,14 +98,14 @@
         }
     }
 
-    fn forget_old(&mut self, now: Instant) {
+    fn remove_expired(&mut self, now: Instant) {
         let window = self.window;
         let old = |at: &Instant| now.saturating_duration_since(*at) > window;
         while self.requests.front().is_some_and(old) {
             self.requests.pop_front();
         }
-        while self.repeats.front().is_some_and(old) {
-            self.repeats.pop_front();
+        while self.retries.front().is_some_and(old) {
+            self.retries.pop_front();
         }
     }
 }
--- a/crates/fleet/src/roles.rs
+++ b/crates/fleet/src/roles.rs
@@ -1,26 +1,26 @@
-//! Which node takes on work for the others: planning, scheduling, relaying lists.
+//! Selection of nodes for shared roles: planning, scheduling and relaying lists.
 //!
-//! Entry hosts differ in processor. A role that serves all nodes costs several times what a
-//! node's own callers cost, so that on a small host it would saturate and stall every node.
+//! Entry hosts differ in processor capacity. A role that serves all nodes costs several times as
+//! much as a node's own callers, so a small host would saturate and delay every node.
 
 use eelgrassmill_base::{FailureDomain, NodeId, rendezvous, value};
 
-/// Nodes with this part of the largest processor or more may take a role.
+/// Minimum processor capacity of a node that takes a role, as a fraction of the largest.
 const MIN_PROCESSOR_RATIO: f64 = 0.5;
 
 value! { copy
-    /// A node that could take a role.
+    /// A candidate for a role.
     pub struct RoleCandidate<'n> {
         /// Its name.
         pub id: &'n NodeId,
         /// Its failure domain.
         pub failure_domain: &'n FailureDomain,
-        /// Processor that it may use, in thousandths of a core; 0 where it doesn't say.
+        /// Processor capacity that it may use, in thousandths of a core; 0 if unknown.
         pub processor: u32,
     }
 }
 
-/// The candidates with the most processor, within [`MIN_PROCESSOR_RATIO`] of the largest.
+/// The candidates with at least [`MIN_PROCESSOR_RATIO`] of the largest processor capacity.
 pub fn strongest<'n>(
     candidates: impl IntoIterator<Item = RoleCandidate<'n>>,
 ) -> Vec<RoleCandidate<'n>> {
@@ -31,8 +31,9 @@
     strong
 }
 
-/// The nodes that may take the role named `key`, the first choice first: the strongest, those
-/// in failure domain `near` before others. Nodes that see the same candidates agree.
+/// The nodes that may take the role `key`, by descending preference: the [`strongest`] ones, those
+/// in failure domain `near` first, ordered by rendezvous hashing. Nodes that see the same
+/// candidates get the same order.
 pub fn ranked_for_role<'n>(
     key: &str,
     near: Option<&FailureDomain>,
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -1,13 +1,13 @@
-//! Which replica of a model runs which request, and who waits.
+//! Scheduler of one model: assigns requests to replicas and queues the rest.
 //!
-//! Sized for many nodes that each send a few requests a second to the same heads. A head prefills
-//! prompts between the tokens of its streams; the time to a first event, and the pauses of all its
-//! streams, depend on what was sent to it in the last tenth of a second, which reported loads
-//! don't show. So one node schedules all requests of a model.
+//! Designed for many nodes that each send a few requests a second to the same heads. A head
+//! prefills prompts between the decode steps of its streams, so the latency of a first event and
+//! the event gaps of all its streams depend on what it was sent in the last tenth of a second,
+//! which reported loads don't show. So one node schedules all requests of a model.
 //!
-//! A head gets no more prompt tokens than it can prefill within the pause that its streams may
-//! have. Further requests wait here, where they can be reordered or rejected; at the head they
-//! would make all its streams late.
+//! A head gets no more prompt tokens than it can prefill within the permitted event gap of its
+//! streams. Further requests are queued here, where they can be reordered or rejected; at the head
+//! they would delay all its streams.
 
 mod head;
 mod queue;
@@ -22,60 +22,61 @@
 use crate::cold::ColdStart;
 use crate::rank::{LateRejection, Priority};
 use crate::rate::Rate;
-use crate::schedule::head::{Demand, HeadWork};
+use crate::schedule::head::{Demand, HeadState};
 use crate::schedule::queue::{Position, Queue};
 
-/// Cost of a head in another failure domain, as time to a first event.
+/// Cost of a head in another failure domain, as additional latency of the first event.
 const CROSS_DOMAIN_COST: Duration = Duration::from_millis(20);
-/// Cost of a full batch over an empty one, as time to a first event. Keeps batches even, so that
-/// no replica is without a slot while others have many.
+/// Cost of a full batch over an empty one, as additional latency of the first event. Balances
+/// batches, so that no replica is full while others have many free slots.
 const FULL_BATCH_COST: Duration = Duration::from_millis(40);
-/// A request that was not rejected for this long has been accepted: heads reject within
+/// A request that was not rejected within this time counts as accepted: heads reject within
 /// milliseconds.
 const REJECTION_TIMEOUT: Duration = Duration::from_millis(50);
-/// How long requests that an earlier scheduler assigned are counted, ever fewer of them: about as
-/// long as streams take.
+/// Time over which the count of requests assigned by the previous scheduler decays to zero: about
+/// the duration of a stream.
 const INHERITED_TTL: Duration = Duration::from_secs(2);
 
-/// Weight of the newest time to a first event in the average, as 1 / this.
-const LEAD_MEMORY: u32 = 16;
-/// A request can be on time while this part of the usual time to a first event is left: many take
-/// less than the mean.
-const MIN_LEAD_RATIO: f64 = 0.85;
-/// Part of the slots that late requests leave free at most.
+/// Weight of the newest first-event latency in the moving average, as 1 / this.
+const LATENCY_MEMORY: u32 = 16;
+/// A request can be on time while this fraction of the mean first-event latency is left: many
+/// requests take less than the mean.
+const MIN_LATENCY_RATIO: f64 = 0.85;
+/// Maximum fraction of the slots that late requests leave free.
 const MAX_RESERVED_RATIO: f64 = 0.5;
-/// Once requests have waited for this long, those that get a slot show what heads can serve.
+/// How long requests must have been queued before the grant rate is a valid estimate of the heads'
+/// capacity.
 const LEARNING_PERIOD: Duration = Duration::from_millis(500);
-/// How long a slot whose release is not reported stays assigned: longer than streams usually
-/// take.
+/// How long a slot stays assigned after the request's deadline if its release is not reported:
+/// longer than streams usually take.
 const ASSIGNMENT_TTL: Duration = Duration::from_secs(4);
 
-/// Names a replica's formation.
+/// Identifies a replica's formation.
 pub type HeadKey = (GroupId, Epoch);
 
 value! {
-    /// Names a request at the node that has it.
+    /// Identifies a request.
     #[derive(Hash, PartialOrd, Ord)]
     pub struct RequestKey {
-        /// The node.
+        /// The node that received the request.
         pub node: NodeId,
-        /// Unique at the node.
+        /// Unique per node.
         pub number: u64,
     }
 
-    /// A head that takes requests.
+    /// A head that accepts requests.
     pub struct OpenHead {
-        /// Its replica's formation.
-        pub key: HeadKey,
-        /// Its host.
-        pub host: HostId,
-        /// Requests that it runs at once.
+    /// Its replica's formation.
+    pub key: HeadKey,
+    /// Its host.
+    pub host: HostId,
+    /// Maximum number of concurrent requests.
         pub slots: usize,
         /// Its failure domain.
         pub failure_domain: FailureDomain,
-        /// Requests that an earlier scheduler reported to have assigned to it.
+        /// Requests that the previous scheduler reported as assigned to it.
         pub inherited_requests: usize,
-        /// Requests that nodes placed there without a scheduler.
+        /// Requests that nodes sent there without a scheduler.
         pub unscheduled_requests: usize,
         /// Set while it is cold.
         pub cold: Option<ColdStart>,
@@ -83,60 +84,60 @@
 
     /// A request that needs a slot.
     pub struct PendingRequest {
-        /// Who asks.
-        pub key: RequestKey,
-        /// The asking node's failure domain.
-        pub failure_domain: FailureDomain,
-        /// Prompt tokens to be read.
-        pub prompt_tokens: u64,
-        /// Whether it goes on after its replica was lost.
+    /// Identifies the request.
+    pub key: RequestKey,
+    /// Failure domain of the requesting node.
+    pub failure_domain: FailureDomain,
+    /// Prompt tokens to prefill.
+    pub prompt_tokens: u64,
+    /// Whether it resumes a stream whose replica was lost.
         pub resumed: bool,
         /// 0 is the most urgent.
         pub urgency: u8,
-        /// Until then it can be on time.
+        /// Until when its response can be on time.
         pub on_time_until: Instant,
-        /// Until then it is worth waiting.
+        /// Until when it may be queued.
         pub deadline: Instant,
-        /// The longest pause of a stream of its kind that is on time.
+        /// Longest gap between events of a stream that is on time.
         pub max_event_gap: Duration,
-        /// Hosts that it is not to be sent to while there is another.
+        /// Hosts to use only if there are no others.
         pub avoid: SmallVec<[HostId; 4]>,
     }
 }
 
 value! {
-    /// What becomes of a request.
+    /// Decision on a pending request.
     pub enum SlotOutcome {
-        /// It is to be sent to this head.
-        Granted(HeadKey),
-        /// No slot became free in time.
+    /// The request gets a slot at this head.
+    Granted(HeadKey),
+    /// The request is rejected, since no slot is or will be free in time.
         Full,
     }
 }
 
 value! { copy
-    /// What a scheduler knows of one head.
+    /// State of one head.
     pub struct HeadLoad {
-        /// Requests that it has.
-        pub requests: usize,
-        /// Whether it rejects all requests.
+    /// Requests at the head.
+    pub requests: usize,
+    /// Whether it is ejected because it rejects all requests.
         pub is_ejected: bool,
     }
 
-    /// What a scheduler knows of its heads and its queue.
+    /// Summary of a scheduler's heads and queue.
     #[derive(Default)]
     pub struct SchedulerState {
-        /// Heads that take requests.
-        pub heads: usize,
-        /// Requests that they run at once.
-        pub slots: usize,
-        /// Requests that they have.
-        pub requests: usize,
-        /// Heads that rejected a request lately.
-        pub rejecting: usize,
-        /// Requests that wait.
-        pub waiting: usize,
-        /// Time from a grant to its first event, a moving average.
+    /// Number of open heads.
+    pub heads: usize,
+    /// Total number of slots.
+    pub slots: usize,
+    /// Requests at all heads.
+    pub requests: usize,
+    /// Heads that recently rejected a request.
+    pub rejecting: usize,
+    /// Queued requests.
+    pub waiting: usize,
+    /// Moving average of the time from a grant to its first event.
         pub first_event_latency: Duration,
     }
 }
@@ -144,225 +145,234 @@
 #[derive(Clone, Debug)]
 struct Assignment {
     head: HeadKey,
-    /// Requests that the head runs at once.
+    /// Maximum number of concurrent requests of the head.
     slots: usize,
-    at: Instant,
-    prompt: u64,
-    /// Whether its first event has come.
-    began: bool,
-    /// Whether the head will not reject it any more.
+    granted_at: Instant,
+    prompt_tokens: u64,
+    /// Whether its prompt counts as prefilled.
+    prefilled: bool,
+    /// Whether the head can no longer reject it.
     accepted: bool,
-    /// Its time is over then, should nobody tell of its end.
-    until: Instant,
+    /// When it expires if its end is not reported.
+    expires_at: Instant,
 }
 
-/// What holds for the rest of one round of decisions. Checked anew for each request that waits, it
-/// would cost the length of the queue times the number of heads.
+/// Cached results for one round of decisions. Recomputing them for each queued request would cost
+/// the queue length times the number of heads.
 #[derive(Clone, Copy, Debug, Default)]
 struct Round {
-    /// No head may take even the shortest prompt.
+    /// Whether no head has room even for the shortest prompt.
     is_full: bool,
     /// Whether all free slots will soon be needed by requests that can be on time.
-    is_tight: Option<bool>,
+    is_scarce: Option<bool>,
 }
 
-/// Places the requests of one model at its heads.
+/// Assigns the requests of one model to its heads.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     speed: EngineSpeed,
-    began: Instant,
-    /// What an earlier scheduler had assigned, as the first decision found it.
+    started_at: Instant,
+    /// Requests assigned by the previous scheduler, as of the first decision.
     inherited: Option<BTreeMap<HeadKey, usize>>,
     /// Invariant: sums over `assigned`, with an entry for each head of the last decision.
-    work: BTreeMap<HeadKey, HeadWork>,
+    head_states: BTreeMap<HeadKey, HeadState>,
     assigned: HashMap<RequestKey, Assignment>,
-    /// Requests that their heads may yet reject, in the order of their grants.
-    unanswered: VecDeque<(Instant, RequestKey)>,
+    /// Requests that their heads may still reject, in the order of their grants.
+    unaccepted_grants: VecDeque<(Instant, RequestKey)>,
     queue: Queue,
     late_rejection: LateRejection,
-    /// Time from a grant to its first event, a moving average.
-    lead: Duration,
-    /// Requests that came with time to be answered on time.
+    /// Moving average of the time from a grant to its first event.
+    first_event_latency: Duration,
+    /// Arrival rate of requests that can be on time.
     arrivals: Rate,
-    /// Requests that got a slot.
+    /// Rate of grants.
     grants: Rate,
 }
 
 impl Scheduler {
-    /// A scheduler that knows of no requests yet, for replicas that work at `speed`.
+    /// Creates an empty scheduler for replicas that work at `speed`.
     pub fn new(speed: EngineSpeed, now: Instant) -> Scheduler {
         Scheduler {
             speed,
-            began: now,
+            started_at: now,
             inherited: None,
-            work: BTreeMap::new(),
+            head_states: BTreeMap::new(),
             assigned: HashMap::new(),
-            unanswered: VecDeque::new(),
+            unaccepted_grants: VecDeque::new(),
             queue: Queue::default(),
             late_rejection: LateRejection::default(),
-            lead: Duration::ZERO,
+            first_event_latency: Duration::ZERO,
             arrivals: Rate::default(),
             grants: Rate::default(),
         }
     }
 
-    /// Takes the speed that the configuration now says.
+    /// Updates the speed after a configuration change.
     pub fn set_speed(&mut self, speed: EngineSpeed) {
         self.speed = speed;
     }
 
-    /// The open heads, and those that still have requests.
+    /// Loads of the open heads and of those that still have requests.
     pub fn head_loads(&self, now: Instant) -> BTreeMap<&HeadKey, HeadLoad> {
         let inherited = self.inherited.iter().flat_map(BTreeMap::keys);
-        let loads = self.work.keys().chain(inherited).map(|key| {
+        let loads = self.head_states.keys().chain(inherited).map(|key| {
             let load = HeadLoad {
                 requests: self.requests_at(key, now),
-                is_ejected: self.work.get(key).is_some_and(|w| w.ejection.is_ejected()),
+                is_ejected: self
+                    .head_states
+                    .get(key)
+                    .is_some_and(|state| state.ejection.is_ejected()),
             };
             (key, load)
         });
         loads.collect()
     }
 
-    /// Requests at a head: those that this scheduler has assigned, and what is likely left of
-    /// those of the one before.
+    /// Requests at a head: those that this scheduler has assigned, and an estimate of the remaining
+    /// ones of the previous scheduler.
     fn requests_at(&self, key: &HeadKey, now: Instant) -> usize {
-        let own = self.work.get(key).map_or(0, |work| work.requests);
+        let own = self.head_states.get(key).map_or(0, |state| state.requests);
         let inherited = self.inherited.as_ref().and_then(|all| all.get(key));
-        let age = now.saturating_duration_since(self.began).as_secs_f64();
+        let age = now.saturating_duration_since(self.started_at).as_secs_f64();
         let left = (1.0 - age / INHERITED_TTL.as_secs_f64()).max(0.0);
         let inherited = inherited.map_or(0.0, |requests| *requests as f64 * left);
         own + inherited.ceil() as usize
     }
 
-    /// What it knows of `heads` and its queue.
+    /// Summary of `heads` and the queue.
     pub fn state(&self, heads: &[OpenHead], now: Instant) -> SchedulerState {
-        let suspected = |w: &HeadWork| w.ejection.is_suspected(now);
-        let rejects = |h: &&OpenHead| self.work.get(&h.key).is_some_and(suspected);
+        let suspected = |state: &HeadState| state.ejection.is_suspected(now);
+        let rejects = |h: &&OpenHead| self.head_states.get(&h.key).is_some_and(suspected);
         SchedulerState {
             heads: heads.len(),
             slots: heads.iter().map(|h| h.slots).sum(),
             requests: heads.iter().map(|h| self.requests_of(h, now)).sum(),
             rejecting: heads.iter().filter(rejects).count(),
             waiting: self.queue.len(),
-            first_event_latency: self.lead,
+            first_event_latency: self.first_event_latency,
         }
     }
 
-    /// Requests at a head, whoever sent them.
+    /// All requests at a head, including unscheduled ones.
     fn requests_of(&self, head: &OpenHead, now: Instant) -> usize {
         self.requests_at(&head.key, now) + head.unscheduled_requests
     }
 
-    /// Requests that wait.
+    /// Number of queued requests.
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
 
-    /// Takes a request that needs a slot, unless it waits already. Whether it did.
-    pub fn enqueue(&mut self, ask: PendingRequest, now: Instant) -> bool {
-        if self.queue.contains(&ask.key) {
+    /// Queues a request, unless it is already queued; returns whether it was added.
+    pub fn enqueue(&mut self, request: PendingRequest, now: Instant) -> bool {
+        if self.queue.contains(&request.key) {
             return false;
         }
-        if now < ask.on_time_until {
+        if now < request.on_time_until {
             self.arrivals.on_event(now);
         }
-        let rank = Priority::first(ask.resumed, ask.urgency);
-        self.queue.push(rank, ask);
+        let priority = Priority::first(request.resumed, request.urgency);
+        self.queue.push(priority, request);
         true
     }
 
-    /// Notes that the first event of a request has come.
+    /// Records that the first event of a request has arrived.
     pub fn on_first_event(&mut self, key: &RequestKey, now: Instant) {
-        if let Some(assigned) = self.assigned.get(key).filter(|p| !p.began) {
-            let lead = now.saturating_duration_since(assigned.at);
-            self.lead = (self.lead * (LEAD_MEMORY - 1) + lead) / LEAD_MEMORY;
-            if let Some(work) = self.work.get_mut(&assigned.head) {
-                work.started(lead, now);
+        if let Some(assigned) = self.assigned.get(key).filter(|p| !p.prefilled) {
+            let first_event_latency = now.saturating_duration_since(assigned.granted_at);
+            self.first_event_latency = (self.first_event_latency * (LATENCY_MEMORY - 1)
+                + first_event_latency)
+                / LATENCY_MEMORY;
+            if let Some(state) = self.head_states.get_mut(&assigned.head) {
+                state.on_first_event(first_event_latency, now);
             }
-            self.accepted(key);
-            self.read(key);
+            self.on_accepted(key);
+            self.on_prefilled(key);
         }
     }
 
-    /// Notes that a head will not reject a request any more.
-    fn accepted(&mut self, key: &RequestKey) {
+    /// Records that a head has accepted a request.
+    fn on_accepted(&mut self, key: &RequestKey) {
         let Some(assigned) = self.assigned.get_mut(key).filter(|a| !a.accepted) else {
             return;
         };
         assigned.accepted = true;
-        if let Some(work) = self.work.get_mut(&assigned.head) {
-            work.unaccepted = work.unaccepted.saturating_sub(1);
-            work.ejection.accepted(assigned.at, assigned.slots);
+        if let Some(state) = self.head_states.get_mut(&assigned.head) {
+            state.unaccepted = state.unaccepted.saturating_sub(1);
+            state.ejection.accepted(assigned.granted_at, assigned.slots);
         }
     }
 
-    /// Takes requests for accepted that were sent some time ago.
-    fn accept_unanswered(&mut self, now: Instant) {
+    /// Marks requests as accepted that were not rejected within [`REJECTION_TIMEOUT`].
+    fn accept_unrejected(&mut self, now: Instant) {
         let old = |at: Instant| now.saturating_duration_since(at) >= REJECTION_TIMEOUT;
-        while let Some((_, key)) = self.unanswered.pop_front_if(|(at, _)| old(*at)) {
-            self.accepted(&key);
+        while let Some((_, key)) = self.unaccepted_grants.pop_front_if(|(at, _)| old(*at)) {
+            self.on_accepted(&key);
         }
     }
 
-    /// Notes that nothing is left to be read of a request's prompt.
-    fn read(&mut self, key: &RequestKey) {
-        let Some(assigned) = self.assigned.get_mut(key).filter(|p| !p.began) else {
+    /// Records that a request's prompt has been prefilled.
+    fn on_prefilled(&mut self, key: &RequestKey) {
+        let Some(assigned) = self.assigned.get_mut(key).filter(|p| !p.prefilled) else {
             return;
         };
-        assigned.began = true;
-        if let Some(work) = self.work.get_mut(&assigned.head) {
-            work.unread = work.unread.saturating_sub(assigned.prompt);
+        assigned.prefilled = true;
+        if let Some(state) = self.head_states.get_mut(&assigned.head) {
+            state.unprefilled_tokens = state
+                .unprefilled_tokens
+                .saturating_sub(assigned.prompt_tokens);
         }
     }
 
-    /// Notes that a request has ended or been given up, whether it has a slot or waits.
+    /// Removes a request that has ended or was abandoned, whether it has a slot or is queued.
     pub fn release(&mut self, key: &RequestKey) {
-        self.read(key);
+        self.on_prefilled(key);
         self.queue.remove_key(key);
         let Some(assigned) = self.assigned.remove(key) else {
             return;
         };
-        if let Some(work) = self.work.get_mut(&assigned.head) {
-            work.requests = work.requests.saturating_sub(1);
+        if let Some(state) = self.head_states.get_mut(&assigned.head) {
+            state.requests = state.requests.saturating_sub(1);
             if !assigned.accepted {
-                work.unaccepted = work.unaccepted.saturating_sub(1);
+                state.unaccepted = state.unaccepted.saturating_sub(1);
             }
-            if work.requests == 0 {
-                work.pause = None;
+            if state.requests == 0 {
+                state.max_event_gap = None;
             }
         }
     }
 
-    /// Notes that a head refused a request, which is assigned nowhere any more.
+    /// Records that a head rejected a request, and releases its slot.
     pub fn on_rejected(&mut self, key: &RequestKey, now: Instant) {
         if let Some(assigned) = self.assigned.get(key) {
-            let work = self.work.entry(assigned.head.clone()).or_default();
-            work.ejection.rejected(assigned.at, work.unaccepted, now);
+            let state = self.head_states.entry(assigned.head.clone()).or_default();
+            state
+                .ejection
+                .rejected(assigned.granted_at, state.unaccepted, now);
         }
         self.release(key);
     }
 
-    /// Notes that a head failed a request before its first event.
+    /// Records that a request failed at a head before its first event, and releases its slot.
     ///
-    /// Its slot is free at once, so that a head that fails everything looks like the emptiest one.
-    /// Counts as a rejection if the head fails more than the others do.
+    /// Since the slot is free immediately, a head that fails all requests looks like the least
+    /// loaded one. So the failure counts as a rejection if the head's success rate is an outlier.
     pub fn on_failed(&mut self, key: &RequestKey, now: Instant) {
         let Some(head) = self.assigned.get(key).map(|a| a.head.clone()) else {
             return self.release(key);
         };
-        let work = self.work.entry(head.clone()).or_default();
-        work.success.on_failed(now);
-        let success = work.success;
-        let others = self.work.iter().filter(|(other, _)| **other != head);
-        if success.is_outlier(others.map(|(_, work)| &work.success), now) {
+        let state = self.head_states.entry(head.clone()).or_default();
+        state.success.on_failed(now);
+        let success = state.success;
+        let others = self.head_states.iter().filter(|(other, _)| **other != head);
+        if success.is_outlier(others.map(|(_, state)| &state.success), now) {
             self.on_rejected(key, now);
         } else {
             self.release(key);
         }
     }
 
-    /// Forgets the requests of a node that is gone.
+    /// Removes all requests of a node that is gone.
     pub fn remove_node(&mut self, node: &str) {
         let of_node = |key: &&RequestKey| key.node == node;
         let keys: BTreeSet<RequestKey> = self
@@ -377,7 +387,7 @@
         }
     }
 
-    /// Decides for as many of those that wait as can be decided now.
+    /// Decides on all queued requests that can be decided now.
     pub fn assign(&mut self, heads: &[OpenHead], now: Instant) -> Vec<(RequestKey, SlotOutcome)> {
         self.inherited.get_or_insert_with(|| {
             let busy = heads.iter().filter(|h| h.inherited_requests > 0);
@@ -385,47 +395,51 @@
                 .collect()
         });
         self.update_heads(heads, now);
-        self.accept_unanswered(now);
-        let lead = self.lead.mul_f64(MIN_LEAD_RATIO);
-        self.queue.rank_late(lead, now);
+        self.accept_unrejected(now);
+        let first_event_latency = self.first_event_latency.mul_f64(MIN_LATENCY_RATIO);
+        self.queue.demote_late(first_event_latency, now);
         let mut decided = Vec::new();
         let mut round = Round::default();
         for position in self.queue.positions(now) {
             let Some((outcome, head)) = self.decide(position, &mut round, heads, now) else {
                 continue;
             };
-            let Some(ask) = self.queue.remove(position) else {
+            let Some(request) = self.queue.remove(position) else {
                 continue;
             };
             if let Some(head) = head {
-                self.put(&ask, head, now);
-                round.is_tight = None;
+                self.assign_to(&request, head, now);
+                round.is_scarce = None;
             }
-            decided.push((ask.key, outcome));
+            decided.push((request.key, outcome));
         }
-        self.queue.decided(now);
-        while let Some(position) = self.unservable(heads, now) {
+        self.queue.on_round_end(now);
+        while let Some(position) = self.last_unservable(heads, now) {
             let rejected = self.queue.remove(position);
-            decided.extend(rejected.map(|ask| (ask.key, SlotOutcome::Full)));
+            decided.extend(rejected.map(|request| (request.key, SlotOutcome::Full)));
         }
         decided
     }
 
-    /// The last in the queue, if more wait than will get a slot in its time.
+    /// The last queued request, if more requests are queued than will get a slot before its
+    /// deadline.
     ///
-    /// Told at once, its caller can come back in time; after a wait it would come back with all
-    /// others that waited as long.
-    fn unservable(&self, heads: &[OpenHead], now: Instant) -> Option<Position> {
-        let (position, ask) = self.queue.last()?;
-        if self.queue.busy_for(now) < LEARNING_PERIOD || position.0 == Priority::Resumed {
+    /// If rejected immediately, its caller can retry in time; after waiting, it would retry
+    /// together with all others that waited as long.
+    fn last_unservable(&self, heads: &[OpenHead], now: Instant) -> Option<Position> {
+        let (position, request) = self.queue.last()?;
+        if self.queue.nonempty_for(now) < LEARNING_PERIOD || position.0 == Priority::Resumed {
             return None;
         }
-        let time = ask.deadline.saturating_duration_since(now).as_secs_f64();
+        let time = request
+            .deadline
+            .saturating_duration_since(now)
+            .as_secs_f64();
         let servable = heads.len() as f64 + self.grants.per_second(now) * time;
         (self.queue.len() as f64 > servable).then_some(position)
     }
 
-    /// What becomes of a request that waits, and its head; `None` where it goes on waiting.
+    /// Decides on a queued request; `None` if it stays queued. Returns the head if it gets a slot.
     fn decide<'h>(
         &mut self,
         position: Position,
@@ -433,16 +447,16 @@
         heads: &'h [OpenHead],
         now: Instant,
     ) -> Option<(SlotOutcome, Option<&'h OpenHead>)> {
-        let rank = position.0;
+        let priority = position.0;
         if let Some(head) = self.head_for(position, round, heads, now) {
-            self.late_rejection.on_wait_ended(rank, true, now);
+            self.late_rejection.on_wait_ended(priority, true, now);
             return Some((SlotOutcome::Granted(head.key.clone()), Some(head)));
         }
         if now >= self.queue.get(position)?.deadline {
-            self.late_rejection.on_wait_ended(rank, false, now);
+            self.late_rejection.on_wait_ended(priority, false, now);
             return Some((SlotOutcome::Full, None));
         }
-        let is_rejected = self.late_rejection.applies_to(rank, now);
+        let is_rejected = self.late_rejection.applies_to(priority, now);
         is_rejected.then_some((SlotOutcome::Full, None))
     }
 
@@ -453,95 +467,106 @@
         heads: &'h [OpenHead],
         now: Instant,
     ) -> Option<&'h OpenHead> {
-        let is_tight = |round: &mut Round| {
-            let is_tight = round.is_tight.unwrap_or_else(|| self.is_tight(heads, now));
-            round.is_tight = Some(is_tight);
-            is_tight
+        let is_scarce = |round: &mut Round| {
+            let is_scarce = round
+                .is_scarce
+                .unwrap_or_else(|| self.is_scarce(heads, now));
+            round.is_scarce = Some(is_scarce);
+            is_scarce
         };
-        if round.is_full || (position.0.is_late() && is_tight(round)) {
+        if round.is_full || (position.0.is_late() && is_scarce(round)) {
             return None;
         }
-        let head = self.choose(self.queue.get(position)?, heads, now);
+        let head = self.choose_head(self.queue.get(position)?, heads, now);
         if head.is_none() {
-            round.is_full = !heads.iter().any(|h| self.may_take(h, now));
+            round.is_full = !heads.iter().any(|h| self.has_any_room(h, now));
         }
         head
     }
 
     /// Whether a head has room for the shortest prompt.
-    fn may_take(&self, head: &OpenHead, now: Instant) -> bool {
+    fn has_any_room(&self, head: &OpenHead, now: Instant) -> bool {
         let demand = self.demand(head, 0, Duration::MAX, now);
-        let work = self.work.get(&head.key);
-        work.is_some_and(|w| w.has_room(&self.speed, demand, self.lead, now))
+        let state = self.head_states.get(&head.key);
+        state
+            .is_some_and(|state| state.has_room(&self.speed, demand, self.first_event_latency, now))
     }
 
-    fn demand(&self, head: &OpenHead, prompt: u64, pause: Duration, now: Instant) -> Demand {
+    fn demand(
+        &self,
+        head: &OpenHead,
+        prompt_tokens: u64,
+        max_event_gap: Duration,
+        now: Instant,
+    ) -> Demand {
         Demand {
             requests: self.requests_of(head, now),
             slots: head.slots,
-            prompt,
-            pause,
-            grants: head.cold.map(|cold| cold.grants(self.began, now)),
+            prompt_tokens,
+            max_event_gap,
+            max_grants: head.cold.map(|cold| cold.grants(self.started_at, now)),
         }
     }
 
-    fn put(&mut self, ask: &PendingRequest, head: &OpenHead, now: Instant) {
+    fn assign_to(&mut self, request: &PendingRequest, head: &OpenHead, now: Instant) {
         self.grants.on_event(now);
-        let work = self.work.entry(head.key.clone()).or_default();
-        work.requests += 1;
-        work.unaccepted += 1;
-        work.window.on_grant(now);
-        work.unread += ask.prompt_tokens;
-        work.pause = Some(
-            work.pause
-                .map_or(ask.max_event_gap, |p| p.min(ask.max_event_gap)),
+        let state = self.head_states.entry(head.key.clone()).or_default();
+        state.requests += 1;
+        state.unaccepted += 1;
+        state.recent_grants.on_grant(now);
+        state.unprefilled_tokens += request.prompt_tokens;
+        state.max_event_gap = Some(
+            state
+                .max_event_gap
+                .map_or(request.max_event_gap, |p| p.min(request.max_event_gap)),
         );
         let assigned = Assignment {
             head: head.key.clone(),
             slots: head.slots,
-            at: now,
-            prompt: ask.prompt_tokens,
-            began: false,
+            granted_at: now,
+            prompt_tokens: request.prompt_tokens,
+            prefilled: false,
             accepted: false,
-            until: ask.deadline.max(now) + ASSIGNMENT_TTL,
+            expires_at: request.deadline.max(now) + ASSIGNMENT_TTL,
         };
-        self.assigned.insert(ask.key.clone(), assigned);
-        self.unanswered.push_back((now, ask.key.clone()));
+        self.assigned.insert(request.key.clone(), assigned);
+        self.unaccepted_grants.push_back((now, request.key.clone()));
     }
 
-    /// The head at which the request would give its first event soonest, if one has room.
-    fn choose<'h>(
+    /// The head with the lowest expected first-event latency among those with room for the request.
+    fn choose_head<'h>(
         &self,
-        ask: &PendingRequest,
+        request: &PendingRequest,
         heads: &'h [OpenHead],
         now: Instant,
     ) -> Option<&'h OpenHead> {
-        let other = heads.iter().any(|h| !ask.avoid.contains(&h.host));
+        let other = heads.iter().any(|h| !request.avoid.contains(&h.host));
         let wanted = heads
             .iter()
-            .filter(|h| !other || !ask.avoid.contains(&h.host));
+            .filter(|h| !other || !request.avoid.contains(&h.host));
         let mut best: Option<((bool, Duration), &OpenHead)> = None;
         for head in wanted {
-            let Some(work) = self.work.get(&head.key) else {
+            let Some(state) = self.head_states.get(&head.key) else {
                 continue;
             };
-            let demand = self.demand(head, ask.prompt_tokens, ask.max_event_gap, now);
-            if !work.has_room(&self.speed, demand, self.lead, now) {
+            let demand = self.demand(head, request.prompt_tokens, request.max_event_gap, now);
+            if !state.has_room(&self.speed, demand, self.first_event_latency, now) {
                 continue;
             }
             let fill = demand.requests as f64 / head.slots.max(1) as f64;
-            let near = head.failure_domain == ask.failure_domain;
-            let pass = self
-                .speed
-                .pass_time(demand.requests, work.unread + ask.prompt_tokens);
-            let cost = pass.mul_f64(work.pace(self.lead, now))
+            let near = head.failure_domain == request.failure_domain;
+            let pass = self.speed.pass_time(
+                demand.requests,
+                state.unprefilled_tokens + request.prompt_tokens,
+            );
+            let cost = pass.mul_f64(state.slowdown(self.first_event_latency, now))
                 + FULL_BATCH_COST.mul_f64(fill)
                 + if near {
                     Duration::ZERO
                 } else {
                     CROSS_DOMAIN_COST
                 };
-            let cost = (work.ejection.is_suspected(now), cost);
+            let cost = (state.ejection.is_suspected(now), cost);
             if best.is_none_or(|(least, _)| cost < least) {
                 best = Some((cost, head));
             }
@@ -551,32 +576,34 @@
 
     /// Whether all free slots will soon be needed by requests that can be on time.
     ///
-    /// A late request that takes the last slot runs for seconds, and makes those late that arrive
-    /// meanwhile: the overload would outlast its cause. Without [`MAX_RESERVED_RATIO`] an estimate
-    /// that makes all requests late would keep all slots free, and nothing would correct it.
-    fn is_tight(&self, heads: &[OpenHead], now: Instant) -> bool {
+    /// A late request in the last free slot runs for seconds and makes requests late that arrive
+    /// meanwhile, so the overload would outlast its cause. Without [`MAX_RESERVED_RATIO`] an
+    /// estimate that makes all requests late would keep all slots free and never be corrected.
+    fn is_scarce(&self, heads: &[OpenHead], now: Instant) -> bool {
         let free = heads
             .iter()
             .map(|h| h.slots.saturating_sub(self.requests_of(h, now)));
         let free: usize = free.sum();
         let slots: usize = heads.iter().map(|h| h.slots).sum();
-        let wanted = self.arrivals.per_second(now) * self.lead.as_secs_f64();
+        let wanted = self.arrivals.per_second(now) * self.first_event_latency.as_secs_f64();
         (free as f64) < wanted.min(MAX_RESERVED_RATIO * slots as f64)
     }
 
-    /// Drops requests whose end nobody reported and heads that are gone; takes in new heads.
+    /// Removes expired assignments and heads that are gone, and adds new heads.
     fn update_heads(&mut self, heads: &[OpenHead], now: Instant) {
-        let over = |p: &Assignment| now >= p.until;
+        let over = |p: &Assignment| now >= p.expires_at;
         let keys = self.assigned.iter().filter(|(_, p)| over(p));
         let keys: Vec<RequestKey> = keys.map(|(key, _)| key.clone()).collect();
         for key in keys {
             self.release(&key);
         }
         let open = |key: &HeadKey| heads.iter().any(|h| h.key == *key);
-        self.work.retain(|key, work| work.requests > 0 || open(key));
+        self.head_states
+            .retain(|key, state| state.requests > 0 || open(key));
         for head in heads {
-            if !self.work.contains_key(&head.key) {
-                self.work.insert(head.key.clone(), HeadWork::default());
+            if !self.head_states.contains_key(&head.key) {
+                self.head_states
+                    .insert(head.key.clone(), HeadState::default());
             }
         }
     }
--- a/crates/fleet/src/schedule/head.rs
+++ b/crates/fleet/src/schedule/head.rs
@@ -1,4 +1,4 @@
-//! What was sent to one head, and whether it has room for more.
+//! Load of one head, and admission of further requests to it.
 
 use std::time::{Duration, Instant};
 
@@ -7,106 +7,113 @@
 use crate::ejection::Ejection;
 use crate::success::SuccessRate;
 
-/// Requests beyond a head's slots that are sent to it, to keep its batch full until the end of a
-/// stream is reported.
+/// Requests sent to a head beyond its slots, to keep its batch full until the end of a stream is
+/// reported.
 const PIPELINE_DEPTH: usize = 1;
-/// Part of the pause that a stream may have which one pass of its head may take. The rest covers
-/// the network and errors of the estimate.
+/// Maximum duration of a pass, as a fraction of the permitted event gap. The rest is a margin for
+/// network latency and estimation errors.
 const MAX_PASS_RATIO: f64 = 0.8;
-/// A head's own time to a first event counts for this long after the last one. Then it is tried
-/// again like the others.
-const PACE_TTL: Duration = Duration::from_secs(2);
-/// Weight of the newest time to a first event in a head's own average, as 1 / this.
-const PACE_MEMORY: u32 = 4;
-/// Bounds of a head's pace, in the usual times to a first event.
-const MIN_PACE: f64 = 1.0;
-const MAX_PACE: f64 = 20.0;
-/// A head that takes less than this many usual times counts as no slower than the others.
-const SLOW_PACE: f64 = 1.5;
+/// How long a head's own first-event latency is used after its last first event. Then it is treated
+/// like the other heads again.
+const SLOWDOWN_TTL: Duration = Duration::from_secs(2);
+/// Weight of the newest first-event latency in a head's own moving average, as 1 / this.
+const HEAD_LATENCY_MEMORY: u32 = 4;
+/// Bounds of a head's slowdown.
+const MIN_SLOWDOWN: f64 = 1.0;
+const MAX_SLOWDOWN: f64 = 20.0;
+/// A head with a smaller slowdown counts as no slower than the others.
+const SLOWDOWN_THRESHOLD: f64 = 1.5;
 
-/// What was sent to one head.
+/// Load and recent performance of one head.
 #[derive(Clone, Debug, Default)]
-pub(super) struct HeadWork {
+pub(super) struct HeadState {
     pub(super) requests: usize,
-    /// Requests that it may yet reject.
+    /// Requests that it may still reject.
     pub(super) unaccepted: usize,
-    /// Prompt tokens of requests that have not begun.
-    pub(super) unread: u64,
-    /// The shortest pause that one of its requests may have.
-    pub(super) pause: Option<Duration>,
+    /// Prompt tokens not prefilled yet.
+    pub(super) unprefilled_tokens: u64,
+    /// The smallest permitted event gap of its requests.
+    pub(super) max_event_gap: Option<Duration>,
     pub(super) ejection: Ejection,
     pub(super) success: SuccessRate,
-    pub(super) window: GrantWindow,
+    pub(super) recent_grants: GrantWindow,
     /// Moving average of the time from a grant to its first event, and when it was last updated.
-    lead: Option<(Duration, Instant)>,
+    first_event_latency: Option<(Duration, Instant)>,
 }
 
-/// What a head must have room for.
+/// Load of a head and requirements of a request to be admitted.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Demand {
-    /// Requests that the head has, whoever sent them.
+    /// All requests at the head, including unscheduled ones.
     pub(super) requests: usize,
-    /// Requests that it runs at once.
+    /// Maximum number of concurrent requests.
     pub(super) slots: usize,
     /// Prompt tokens of the request.
-    pub(super) prompt: u64,
-    /// The longest pause that the request's stream may have.
-    pub(super) pause: Duration,
-    /// Requests that it may get within a second; set while it is cold.
-    pub(super) grants: Option<usize>,
+    pub(super) prompt_tokens: u64,
+    /// Permitted event gap of the request's stream.
+    pub(super) max_event_gap: Duration,
+    /// Maximum number of grants within a second; set while the head is cold.
+    pub(super) max_grants: Option<usize>,
 }
 
-impl HeadWork {
-    /// Takes the time from a grant to its first event into the average.
-    pub(super) fn started(&mut self, lead: Duration, now: Instant) {
+impl HeadState {
+    /// Adds the time from a grant to its first event to the moving average.
+    pub(super) fn on_first_event(&mut self, first_event_latency: Duration, now: Instant) {
         self.success.on_served(now);
-        let before = self.recent_lead(now).unwrap_or(lead);
-        let mean = (before * (PACE_MEMORY - 1) + lead) / PACE_MEMORY;
-        self.lead = Some((mean, now));
+        let before = self.recent_latency(now).unwrap_or(first_event_latency);
+        let mean = (before * (HEAD_LATENCY_MEMORY - 1) + first_event_latency) / HEAD_LATENCY_MEMORY;
+        self.first_event_latency = Some((mean, now));
     }
 
-    /// Its average time to a first event; `None` once that is older than [`PACE_TTL`].
-    fn recent_lead(&self, now: Instant) -> Option<Duration> {
-        let recent = |at: Instant| now.saturating_duration_since(at) < PACE_TTL;
-        self.lead
+    /// Its mean first-event latency; `None` once that is older than [`SLOWDOWN_TTL`].
+    fn recent_latency(&self, now: Instant) -> Option<Duration> {
+        let recent = |at: Instant| now.saturating_duration_since(at) < SLOWDOWN_TTL;
+        self.first_event_latency
             .filter(|(_, at)| recent(*at))
-            .map(|(lead, _)| lead)
+            .map(|(first_event_latency, _)| first_event_latency)
     }
 
-    /// How many times the usual time it takes to a first event: a replica is as slow as its
+    /// Its first-event latency relative to the mean of all heads. A replica is as slow as its
     /// slowest member.
-    pub(super) fn pace(&self, usual: Duration, now: Instant) -> f64 {
-        let Some(lead) = self.recent_lead(now) else {
-            return MIN_PACE;
+    pub(super) fn slowdown(&self, mean_latency: Duration, now: Instant) -> f64 {
+        let Some(first_event_latency) = self.recent_latency(now) else {
+            return MIN_SLOWDOWN;
         };
-        let pace = lead.as_secs_f64() / usual.as_secs_f64().max(f64::EPSILON);
-        if pace < SLOW_PACE {
-            return MIN_PACE;
+        let slowdown =
+            first_event_latency.as_secs_f64() / mean_latency.as_secs_f64().max(f64::EPSILON);
+        if slowdown < SLOWDOWN_THRESHOLD {
+            return MIN_SLOWDOWN;
         }
-        pace.min(MAX_PACE)
+        slowdown.min(MAX_SLOWDOWN)
     }
 
-    /// Whether it has room for one more request. `usual` is the time to a first event of all heads.
+    /// Whether it has room for one more request. `mean_latency` is the mean first-event latency of all
+    /// heads.
     pub(super) fn has_room(
         &self,
         speed: &EngineSpeed,
         demand: Demand,
-        usual: Duration,
+        mean_latency: Duration,
         now: Instant,
     ) -> bool {
         let is_full = demand.requests >= demand.slots + PIPELINE_DEPTH;
         let is_cold = demand
-            .grants
-            .is_some_and(|most| self.window.count(now) >= most);
+            .max_grants
+            .is_some_and(|most| self.recent_grants.count(now) >= most);
         if is_full || is_cold || !self.ejection.admits(self.unaccepted, now) {
             return false;
         }
-        // The longest prompt must run somewhere, and alone it harms least.
-        if self.unread == 0 {
+        // Even the longest prompt must run somewhere, and does the least harm on its own.
+        if self.unprefilled_tokens == 0 {
             return true;
         }
-        let pause = self.pause.map_or(demand.pause, |p| p.min(demand.pause));
-        let pass = speed.pass_time(demand.requests, self.unread + demand.prompt);
-        pass.mul_f64(self.pace(usual, now)) <= pause.mul_f64(MAX_PASS_RATIO)
+        let max_event_gap = self
+            .max_event_gap
+            .map_or(demand.max_event_gap, |p| p.min(demand.max_event_gap));
+        let pass = speed.pass_time(
+            demand.requests,
+            self.unprefilled_tokens + demand.prompt_tokens,
+        );
+        pass.mul_f64(self.slowdown(mean_latency, now)) <= max_event_gap.mul_f64(MAX_PASS_RATIO)
     }
 }
--- a/crates/fleet/src/schedule/queue.rs
+++ b/crates/fleet/src/schedule/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a slot.
+//! Priority queue of requests that wait for a slot.
 
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
@@ -6,20 +6,20 @@
 use crate::rank::Priority;
 use crate::schedule::{PendingRequest, RequestKey};
 
-/// Requests that wait for this long without a break show that more come than are served.
+/// The queue switches to LIFO once it has been non-empty for this long, which indicates overload.
 const LIFO_DELAY: Duration = Duration::from_millis(50);
 
-/// A position in the queue: by rank, then in the order of arrival.
+/// Position in the queue: by priority, then by arrival.
 pub(super) type Position = (Priority, u64);
 
-/// Requests that wait, by position.
+/// Queued requests by position.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Queue {
     next: u64,
     waiting: BTreeMap<Position, PendingRequest>,
     /// Invariant: the keys of `waiting`.
     positions: HashMap<RequestKey, Position>,
-    /// Since when requests have waited without a break.
+    /// Since when the queue has been non-empty.
     since: Option<Instant>,
 }
 
@@ -36,14 +36,14 @@
         self.positions.keys()
     }
 
-    /// The positions in the order in which they are decided.
+    /// All positions in the order in which they are served.
     ///
-    /// Of requests that can be on time the oldest goes first; the newest once requests have waited
-    /// for [`LIFO_DELAY`]. In a queue that doesn't empty the oldest can only just be on time, and
-    /// with a slot each is late by the least delay.
+    /// Requests that can be on time are served oldest first, and newest first once the queue has
+    /// been non-empty for [`LIFO_DELAY`]. In a queue that doesn't drain, the oldest requests can
+    /// only just be on time, and the smallest delay after their grant makes them late.
     pub(super) fn positions(&self, now: Instant) -> Vec<Position> {
         let mut positions: Vec<Position> = self.waiting.keys().copied().collect();
-        if self.busy_for(now) >= LIFO_DELAY {
+        if self.nonempty_for(now) >= LIFO_DELAY {
             for same in positions.chunk_by_mut(|a, b| a.0 == b.0) {
                 if matches!(same.first(), Some((Priority::OnTime(_), _))) {
                     same.reverse();
@@ -59,24 +59,24 @@
 
     pub(super) fn last(&self) -> Option<(Position, &PendingRequest)> {
         let last = self.waiting.last_key_value();
-        last.map(|(position, ask)| (*position, ask))
+        last.map(|(position, request)| (*position, request))
     }
 
-    /// Adds a request behind all others of its rank.
-    pub(super) fn push(&mut self, rank: Priority, ask: PendingRequest) {
-        self.insert((rank, self.next), ask);
+    /// Adds a request behind all others of its priority.
+    pub(super) fn push(&mut self, priority: Priority, request: PendingRequest) {
+        self.insert((priority, self.next), request);
         self.next += 1;
     }
 
-    fn insert(&mut self, position: Position, ask: PendingRequest) {
-        self.positions.insert(ask.key.clone(), position);
-        self.waiting.insert(position, ask);
+    fn insert(&mut self, position: Position, request: PendingRequest) {
+        self.positions.insert(request.key.clone(), position);
+        self.waiting.insert(position, request);
     }
 
     pub(super) fn remove(&mut self, position: Position) -> Option<PendingRequest> {
-        let ask = self.waiting.remove(&position)?;
-        self.positions.remove(&ask.key);
-        Some(ask)
+        let request = self.waiting.remove(&position)?;
+        self.positions.remove(&request.key);
+        Some(request)
     }
 
     pub(super) fn remove_key(&mut self, key: &RequestKey) {
@@ -85,33 +85,34 @@
         }
     }
 
-    /// Notes whether any request waits after a round of decisions.
-    pub(super) fn decided(&mut self, now: Instant) {
+    /// Records whether the queue is empty after a round of decisions.
+    pub(super) fn on_round_end(&mut self, now: Instant) {
         let waits = !self.waiting.is_empty();
         self.since = waits.then(|| self.since.unwrap_or(now));
     }
 
-    /// How long requests have waited without a break.
-    pub(super) fn busy_for(&self, now: Instant) -> Duration {
+    /// How long the queue has been non-empty.
+    pub(super) fn nonempty_for(&self, now: Instant) -> Duration {
         let busy = |since| now.saturating_duration_since(since);
         self.since.map_or(Duration::ZERO, busy)
     }
 
-    /// Moves requests that can't be on time any more behind those that can. `lead` is the time to
-    /// a first event.
+    /// Lowers the priority of requests that can no longer be on time. `first_event_latency` is the expected
+    /// first-event latency.
     ///
-    /// Without `lead`, each slot would go to the request that waited until it could only just be
+    /// Without `first_event_latency`, each slot would go to a request that has waited until it is bound to be
     /// late.
-    pub(super) fn rank_late(&mut self, lead: Duration, now: Instant) {
+    pub(super) fn demote_late(&mut self, first_event_latency: Duration, now: Instant) {
         let late: Vec<Position> = self
             .waiting
             .range((Priority::OnTime(0), 0)..(Priority::Late(0), 0))
-            .filter(|(_, ask)| now + lead >= ask.on_time_until)
+            .filter(|(_, request)| now + first_event_latency >= request.on_time_until)
             .map(|(position, _)| *position)
             .collect();
         for position in late {
-            if let (Priority::OnTime(urgency), Some(ask)) = (position.0, self.remove(position)) {
-                self.insert((Priority::Late(urgency), position.1), ask);
+            if let (Priority::OnTime(urgency), Some(request)) = (position.0, self.remove(position))
+            {
+                self.insert((Priority::Late(urgency), position.1), request);
             }
         }
     }
--- a/crates/fleet/src/stall.rs
+++ b/crates/fleet/src/stall.rs
@@ -33,24 +33,24 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StreamActivity {
     /// Start of the time without events: the last event, or the first request after being idle.
-    last: Option<Instant>,
-    event: Option<Instant>,
+    silent_since: Option<Instant>,
+    last_event: Option<Instant>,
     /// Moving average of the gap between events.
-    pause: Duration,
+    gap: Duration,
 }
 
 /// Weight of the newest gap in the moving average, as 1 / this.
-const PAUSE_MEMORY: u32 = 8;
+const GAP_MEMORY: u32 = 8;
 
 impl StreamActivity {
     /// Records an event, or the start of a stream's response.
     pub fn on_event(&mut self, now: Instant) {
-        if let Some(last) = self.last {
-            let pause = now.saturating_duration_since(last);
-            self.pause = (self.pause * (PAUSE_MEMORY - 1) + pause) / PAUSE_MEMORY;
+        if let Some(last) = self.silent_since {
+            let gap = now.saturating_duration_since(last);
+            self.gap = (self.gap * (GAP_MEMORY - 1) + gap) / GAP_MEMORY;
         }
-        self.last = Some(now);
-        self.event = Some(now);
+        self.silent_since = Some(now);
+        self.last_event = Some(now);
     }
 
     /// Whether it sent an event so recently that it can't have lost a member, whatever another node
@@ -60,20 +60,20 @@
     /// its reports would dissolve replicas that serve all other nodes. A real loss stops the
     /// streams of all nodes at once and is reported only after [`StallThreshold::min_silence`] and
     /// a query, when the last event is older than that.
-    pub fn has_recent_event(&self, rule: &StallThreshold, now: Instant) -> bool {
-        let lately = |at: Instant| now.saturating_duration_since(at) < rule.min_silence;
-        self.event.is_some_and(lately)
+    pub fn has_recent_event(&self, threshold: &StallThreshold, now: Instant) -> bool {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < threshold.min_silence;
+        self.last_event.is_some_and(is_recent)
     }
 
     /// Records that the replica got a request after being idle; the time without events starts
     /// here.
     pub fn on_work_resumed(&mut self, now: Instant) {
-        self.last = Some(now);
+        self.silent_since = Some(now);
     }
 
     /// When it will count as stalled unless an event arrives.
-    pub fn stalls_at(&self, rule: &StallThreshold) -> Option<Instant> {
-        let silence = rule.min_silence.max(self.pause * rule.gap_factor);
-        self.last.map(|last| last + silence)
+    pub fn stalls_at(&self, threshold: &StallThreshold) -> Option<Instant> {
+        let silence = threshold.min_silence.max(self.gap * threshold.gap_factor);
+        self.silent_since.map(|last| last + silence)
     }
 }
--- a/crates/fleet/src/strain.rs
+++ b/crates/fleet/src/strain.rs
@@ -1,41 +1,41 @@
-//! Whether a node has too little processor for what it does.
+//! Detection of CPU overload at a node.
 //!
-//! Sized for hosts that turn slow, or are given a role that is too much for them: a node that
-//! runs late holds up every node that waits for its answers.
+//! Designed for hosts that become slow or hold a role that exceeds their capacity: an overloaded
+//! node delays every node that waits for its responses.
 
 use std::time::{Duration, Instant};
 
-/// Mean delay of a node's timers at which it counts as strained.
-const STRAIN_DELAY: Duration = Duration::from_millis(60);
-/// Mean delay below which it recovers.
-const RELIEF_DELAY: Duration = Duration::from_millis(20);
-/// How long it must run on time to count as relieved. Its roles have left it by then, and come
-/// back with the relief.
-const RELIEF_PERIOD: Duration = Duration::from_secs(5);
+/// Mean timer delay at which a node becomes overloaded.
+const OVERLOAD_DELAY: Duration = Duration::from_millis(60);
+/// Mean timer delay below which it starts to recover.
+const RECOVERY_DELAY: Duration = Duration::from_millis(20);
+/// How long the delay must stay low for the node to count as recovered. By then its roles have
+/// moved to other nodes, and they return once it has recovered.
+const RECOVERY_PERIOD: Duration = Duration::from_secs(5);
 /// Weight of the newest delay in the mean, as 1 / this.
 const DELAY_MEMORY: u32 = 8;
 
-/// The strain of one node, by the delay of a timer that runs all the time.
+/// CPU overload of one node, measured by the delay of a periodic timer.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct CpuOverload {
     delay: Duration,
-    /// Set while the node is strained: when it last ran late.
-    late_at: Option<Instant>,
+    /// When the mean delay was last high; set while the node is overloaded.
+    overloaded_at: Option<Instant>,
 }
 
 impl CpuOverload {
-    /// Takes how late the timer was.
-    pub fn on_timer(&mut self, late: Duration, now: Instant) {
-        self.delay = (self.delay * (DELAY_MEMORY - 1) + late) / DELAY_MEMORY;
-        if self.delay >= STRAIN_DELAY || (self.is_overloaded() && self.delay >= RELIEF_DELAY) {
-            self.late_at = Some(now);
+    /// Records the delay of the timer.
+    pub fn on_timer(&mut self, timer_delay: Duration, now: Instant) {
+        self.delay = (self.delay * (DELAY_MEMORY - 1) + timer_delay) / DELAY_MEMORY;
+        if self.delay >= OVERLOAD_DELAY || (self.is_overloaded() && self.delay >= RECOVERY_DELAY) {
+            self.overloaded_at = Some(now);
         }
-        let long_ago = |at: &mut Instant| now.saturating_duration_since(*at) >= RELIEF_PERIOD;
-        self.late_at.take_if(long_ago);
+        let long_ago = |at: &mut Instant| now.saturating_duration_since(*at) >= RECOVERY_PERIOD;
+        self.overloaded_at.take_if(long_ago);
     }
 
-    /// Whether the node should take no role for others.
+    /// Whether the node is overloaded and should take no shared role.
     pub fn is_overloaded(&self) -> bool {
-        self.late_at.is_some()
+        self.overloaded_at.is_some()
     }
 }
--- a/crates/fleet/src/success.rs
+++ b/crates/fleet/src/success.rs
@@ -1,16 +1,16 @@
-//! Success rates of hosts, each compared with the others.
+//! Success-rate outlier detection of hosts.
 //!
-//! Sized for hosts that fail requests at once while their health checks pass. A fault that all
-//! hosts share, such as a network that loses answers, makes none of them an outlier.
+//! Designed for hosts that fail requests immediately while their health checks pass. A fault that
+//! all hosts share, such as a network that loses responses, makes none of them an outlier.
 
 use std::time::Instant;
 
 use crate::rate::Rate;
 
-/// A host that serves less than this part of what the others serve of theirs is an outlier.
+/// A host is an outlier if its success rate is less than this fraction of the others' rate.
 const MIN_SUCCESS_RATIO: f64 = 0.8;
 
-/// Requests of a host that were served and that failed lately.
+/// Recent rates of successful and failed requests of a host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SuccessRate {
     served: Rate,
@@ -18,17 +18,17 @@
 }
 
 impl SuccessRate {
-    /// Notes a request that was served.
+    /// Records a successful request.
     pub fn on_served(&mut self, now: Instant) {
         self.served.on_event(now);
     }
 
-    /// Notes a request that failed.
+    /// Records a failed request.
     pub fn on_failed(&mut self, now: Instant) {
         self.failed.on_event(now);
     }
 
-    /// Whether the host serves clearly less of its requests than the others do of theirs.
+    /// Whether the host's success rate is clearly lower than that of the others.
     pub fn is_outlier<'o>(
         &self,
         others: impl IntoIterator<Item = &'o SuccessRate>,
@@ -44,7 +44,7 @@
     }
 }
 
-/// The part that was served; 1 where nothing is known.
+/// Fraction of successful requests; 1 without any requests.
 fn ratio((served, failed): (f64, f64)) -> f64 {
     let all = served + failed;
     if all > 0.0 { served / all } else { 1.0 }
--- a/crates/fleet/src/targets.rs
+++ b/crates/fleet/src/targets.rs
@@ -1,4 +1,4 @@
-//! What a node sees of the hosts of plain services.
+//! Per-host request counts and failure rates of plain services, as seen by one node.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -7,23 +7,23 @@
 
 /// Weight of the newest outcome in a host's failure rate, as 1 / this.
 const FAILURE_MEMORY: u32 = 8;
-/// A failure rate counts less with its age, and for this long at most: a host that is left out
-/// for its failures must be tried again.
+/// A failure rate decays linearly to zero over this time, so that a host that gets no requests
+/// because of its failures is tried again.
 const FAILURE_TTL: Duration = Duration::from_secs(4);
 
-/// How a request at a host ended.
+/// Outcome of a request at a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetOutcome {
-    /// With an answer of use.
+    /// The host responded successfully.
     Served,
-    /// It was rejected, failed or given up.
+    /// The request was rejected, failed or was abandoned.
     ///
-    /// A host that rejects at once has no requests: unless rejections count, it looks like the
-    /// emptiest one and is sent all of them.
+    /// A host that rejects immediately has no running requests: unless rejections count as
+    /// failures, it looks like the least loaded host and receives all requests.
     Failed,
 }
 
-/// Requests and failures of each host, as this node sees them.
+/// Running requests and failure rate of each host, as seen by this node.
 #[derive(Clone, Debug, Default)]
 pub struct TargetStats {
     hosts: HashMap<HostId, TargetStat>,
@@ -38,12 +38,12 @@
 }
 
 impl TargetStats {
-    /// Counts a request that is sent to a host.
+    /// Records that a request is sent to a host.
     pub fn on_request_start(&mut self, host: &HostId) {
         self.hosts.entry(host.clone()).or_default().running += 1;
     }
 
-    /// Counts the end of a request.
+    /// Records the end of a request.
     pub fn on_request_end(&mut self, host: &HostId, outcome: TargetOutcome, now: Instant) {
         let Some(stat) = self.hosts.get_mut(host) else {
             return;
@@ -54,20 +54,21 @@
         } else {
             0
         };
-        let before = stat.failing_at(now);
+        let before = stat.failure_permille_at(now);
         stat.failure_permille = (before * (FAILURE_MEMORY - 1) + newest) / FAILURE_MEMORY;
         stat.ended = Some(now);
     }
 
-    /// Requests that a host has of this node, and its failure rate in thousandths.
+    /// Number of this node's requests running at a host, and the host's failure rate in
+    /// thousandths.
     pub fn load_and_failures(&self, host: &str, now: Instant) -> (usize, u32) {
         let stat = self.hosts.get(host);
-        stat.map_or((0, 0), |s| (s.running, s.failing_at(now)))
+        stat.map_or((0, 0), |s| (s.running, s.failure_permille_at(now)))
     }
 }
 
 impl TargetStat {
-    fn failing_at(&self, now: Instant) -> u32 {
+    fn failure_permille_at(&self, now: Instant) -> u32 {
         let age = self.ended.map(|at| now.saturating_duration_since(at));
         let left = age.map_or(0.0, |age| 1.0 - age.div_duration_f64(FAILURE_TTL));
         (f64::from(self.failure_permille) * left.max(0.0)) as u32
