--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -6,16 +6,17 @@
 //! replicas, [`choose_host`] balances load over hosts, [`RetryWindow`] limits retries, and
 //! [`Lease`] tells whether a planner may act.
 
+mod balance;
+mod caller_timeouts;
 mod catalog;
 mod cold;
+mod cpu_overload;
 mod ejection;
 mod fleet;
 mod host;
 mod lease;
-mod patience;
-mod place;
 mod planner;
-mod rank;
+mod priority;
 mod rate;
 mod relay;
 mod retry;
@@ -23,26 +24,26 @@
 mod schedule;
 mod spill;
 mod stall;
-mod strain;
 mod success;
 mod targets;
 
+pub use crate::balance::{HostCandidate, choose_host};
+pub use crate::caller_timeouts::CallerTimeouts;
 pub use crate::catalog::{
     Caller, CallerLimits, Catalog, Engine, EngineSpeed, Millionths, ModelSpec, RetryPolicy, Route,
     RouteError, Service, StreamRules,
 };
 pub use crate::cold::{ColdRateLimiter, ColdStart};
+pub use crate::cpu_overload::CpuOverload;
 pub use crate::ejection::{Ejection, EjectionBackoff};
 pub use crate::fleet::{EvacuationChange, Fleet, FleetChange, Replica};
 pub use crate::host::{Host, HostState, Membership, MembershipPhase};
 pub use crate::lease::{LEASE_TERM, Lease, LeaseStatus, SinceBoot, hears_majority, is_majority};
-pub use crate::patience::CallerTimeouts;
-pub use crate::place::{HostCandidate, choose_host};
 pub use crate::planner::{
     Command, Formation, FormationPhase, LossReason, Order, OrderReply, Planner, PlannerTiming,
     Purpose,
 };
-pub use crate::rank::{LateRejection, Priority};
+pub use crate::priority::{LateRejection, Priority};
 pub use crate::rate::Rate;
 pub use crate::relay::{
     ChangeLog, ListParent, SyncUpdate, initial_read_delay, initial_sync_source, list_parent,
@@ -54,6 +55,5 @@
 };
 pub use crate::spill::{DomainLoad, choose_domain};
 pub use crate::stall::{StallThreshold, StreamActivity};
-pub use crate::strain::CpuOverload;
 pub use crate::success::SuccessRate;
 pub use crate::targets::{TargetOutcome, TargetStats};
--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -14,15 +14,15 @@
 //!   planners, so that hosts reject delayed orders for an older formation.
 
 mod advance;
-mod choose;
 mod formation;
 mod formations;
-mod knowledge;
+mod host_reports;
 mod order;
-mod ready;
+mod placement;
 mod rejecting;
 mod send;
 mod serving;
+mod spares;
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::{Duration, Instant};
@@ -37,9 +37,9 @@
 use crate::fleet::Fleet;
 use crate::host::{Host, MembershipPhase};
 use crate::planner::advance::PlanInput;
-use crate::planner::choose::ServiceView;
 use crate::planner::formations::Formations;
-use crate::planner::knowledge::{LastReport, MAX_ORDER_DELAY, Silence};
+use crate::planner::host_reports::{LastReport, MAX_ORDER_DELAY, Silence};
+use crate::planner::placement::ServiceView;
 use crate::planner::rejecting::RejectingHosts;
 use crate::planner::serving::ServingCounts;
 
--- a/crates/fleet/src/planner/ready.rs
+++ b/crates/fleet/src/planner/spares.rs
@@ -10,8 +10,8 @@
 
 use crate::catalog::ModelSpec;
 use crate::host::Host;
-use crate::planner::choose::{STAGE_TIMEOUT_FACTOR, ServiceView};
 use crate::planner::formation::{Formation, Purpose};
+use crate::planner::placement::{STAGE_TIMEOUT_FACTOR, ServiceView};
 use crate::planner::{Command, Order, Planner};
 
 impl Planner {
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -20,7 +20,7 @@
 
 use crate::catalog::EngineSpeed;
 use crate::cold::ColdStart;
-use crate::rank::{LateRejection, Priority};
+use crate::priority::{LateRejection, Priority};
 use crate::rate::Rate;
 use crate::schedule::head::{Demand, HeadState};
 use crate::schedule::queue::{Position, Queue};
--- a/crates/fleet/src/schedule/queue.rs
+++ b/crates/fleet/src/schedule/queue.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap};
 use std::time::{Duration, Instant};
 
-use crate::rank::Priority;
+use crate::priority::Priority;
 use crate::schedule::{PendingRequest, RequestKey};
 
 /// The queue switches to LIFO once it has been non-empty for this long, which indicates overload.
