--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,21 +1,22 @@
-//! Policy for hosts that obey orders and report what they hold.
+//! Planning, scheduling and load-balancing policy for a fleet of hosts.
 //!
-//! Everything here is pure: it takes events and an instant and returns what to
-//! do. [`Catalog`] is the accepted configuration, [`Fleet`] what is known of
-//! hosts, [`Planner`] decides which hosts form a replica, [`choose_host`] chooses the
-//! host of a request, [`RetryWindow`] bounds what is sent a second time, and [`Lease`]
-//! says for how long a planner may act.
+//! Nothing here does I/O or reads the clock: functions take events and an instant, and return what
+//! to do. [`Catalog`] is the accepted configuration, [`Fleet`] the known state of all hosts,
+//! [`Planner`] decides which hosts form a replica, [`Scheduler`] assigns a model's requests to
+//! replicas, [`choose_host`] balances load over hosts, [`RetryWindow`] limits retries, and
+//! [`Lease`] tells whether a planner may act.
 
+mod balance;
+mod caller_timeouts;
 mod catalog;
 mod cold;
+mod cpu_overload;
 mod ejection;
 mod fleet;
 mod host;
 mod lease;
-mod patience;
-mod place;
 mod planner;
-mod rank;
+mod priority;
 mod rate;
 mod relay;
 mod retry;
@@ -23,26 +24,26 @@
 mod schedule;
 mod spill;
 mod stall;
-mod strain;
 mod success;
 mod targets;
 
+pub use crate::balance::{HostCandidate, choose_host};
+pub use crate::caller_timeouts::CallerTimeouts;
 pub use crate::catalog::{
     Caller, CallerLimits, Catalog, Engine, EngineSpeed, Millionths, ModelSpec, RetryPolicy, Route,
     RouteError, Service, StreamRules,
 };
 pub use crate::cold::{ColdRateLimiter, ColdStart};
+pub use crate::cpu_overload::CpuOverload;
 pub use crate::ejection::{Ejection, EjectionBackoff};
 pub use crate::fleet::{EvacuationChange, Fleet, FleetChange, Replica};
 pub use crate::host::{Host, HostState, Membership, MembershipPhase};
 pub use crate::lease::{LEASE_TERM, Lease, LeaseStatus, SinceBoot, hears_majority, is_majority};
-pub use crate::patience::CallerTimeouts;
-pub use crate::place::{HostCandidate, choose_host};
 pub use crate::planner::{
     Command, Formation, FormationPhase, LossReason, Order, OrderReply, Planner, PlannerTiming,
     Purpose,
 };
-pub use crate::rank::{LateRejection, Priority};
+pub use crate::priority::{LateRejection, Priority};
 pub use crate::rate::Rate;
 pub use crate::relay::{
     ChangeLog, ListParent, SyncUpdate, initial_read_delay, initial_sync_source, list_parent,
@@ -54,6 +55,5 @@
 };
 pub use crate::spill::{DomainLoad, choose_domain};
 pub use crate::stall::{StallThreshold, StreamActivity};
-pub use crate::strain::CpuOverload;
 pub use crate::success::SuccessRate;
 pub use crate::targets::{TargetOutcome, TargetStats};
--- a/crates/fleet/src/planner/formations.rs
+++ b/crates/fleet/src/planner/formations.rs
@@ -1,4 +1,4 @@
-//! All formations of a planner, by name and by member.
+//! Collection of all formations, indexed by name and by member.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,14 +10,14 @@
 
 /// Formations by name, with an index of their members.
 ///
-/// A planner asks several times in each step which formation a host belongs to. A search
-/// through all formations for each host would make a step cost the square of the fleet's size.
+/// Each planning pass looks up the formation of every host several times. Scanning all formations
+/// for each host would make a pass quadratic in the size of the fleet.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Formations {
     by_id: BTreeMap<GroupId, Formation>,
-    /// Invariant: for each host the formations that list it as a member, in the order of their
-    /// names, and those that were taken out to be advanced.
-    of_host: HashMap<HostId, SmallVec<[GroupId; 2]>>,
+    /// Invariant: for each host the formations that list it as a member, sorted by name, including
+    /// those removed by [`Formations::take`].
+    by_member: HashMap<HostId, SmallVec<[GroupId; 2]>>,
 }
 
 impl Formations {
@@ -25,7 +25,7 @@
         self.by_id.get(id)
     }
 
-    /// A formation to change. Members are added by [`Formations::add_member`] alone.
+    /// Mutable access to a formation. Members are added only by [`Formations::add_member`].
     pub(super) fn get_mut(&mut self, id: &str) -> Option<&mut Formation> {
         self.by_id.get_mut(id)
     }
@@ -38,15 +38,15 @@
         self.by_id.values()
     }
 
-    /// The formations that list a host as a member, also where it has left.
-    pub(super) fn listing(&self, host: &str) -> impl Iterator<Item = &Formation> {
-        let ids = self.of_host.get(host).into_iter().flatten();
+    /// The formations that list a host as a member, including those that it has left.
+    pub(super) fn of_member(&self, host: &str) -> impl Iterator<Item = &Formation> {
+        let ids = self.by_member.get(host).into_iter().flatten();
         ids.filter_map(|id| self.by_id.get(id))
     }
 
     pub(super) fn insert(&mut self, formation: Formation) {
         for member in &formation.members {
-            index(&mut self.of_host, member, &formation.id);
+            add_to_index(&mut self.by_member, member, &formation.id);
         }
         self.by_id.insert(formation.id.clone(), formation);
     }
@@ -54,27 +54,28 @@
     pub(super) fn add_member(&mut self, id: &str, host: &Host) {
         if let Some(formation) = self.by_id.get_mut(id) {
             formation.add_member(host);
-            index(&mut self.of_host, &host.id, &formation.id);
+            add_to_index(&mut self.by_member, &host.id, &formation.id);
         }
     }
 
-    /// Takes a formation out while it is advanced, to be put back or dropped.
+    /// Removes a formation but keeps its index entries, until [`Formations::put_back`] or
+    /// [`Formations::remove_from_index`].
     pub(super) fn take(&mut self, id: &str) -> Option<Formation> {
         self.by_id.remove(id)
     }
 
-    /// Puts back what [`Formations::take`] gave, with the same members.
+    /// Reinserts a formation returned by [`Formations::take`], with the same members.
     pub(super) fn put_back(&mut self, formation: Formation) {
         self.by_id.insert(formation.id.clone(), formation);
     }
 
-    /// Drops what [`Formations::take`] gave.
-    pub(super) fn dropped(&mut self, formation: &Formation) {
+    /// Removes the index entries of a formation returned by [`Formations::take`].
+    pub(super) fn remove_from_index(&mut self, formation: &Formation) {
         for member in &formation.members {
-            if let Some(ids) = self.of_host.get_mut(member) {
+            if let Some(ids) = self.by_member.get_mut(member) {
                 ids.retain(|id| *id != formation.id);
                 if ids.is_empty() {
-                    self.of_host.remove(member);
+                    self.by_member.remove(member);
                 }
             }
         }
@@ -83,13 +84,17 @@
     /// Removes a formation.
     pub(super) fn remove(&mut self, id: &str) {
         if let Some(formation) = self.take(id) {
-            self.dropped(&formation);
+            self.remove_from_index(&formation);
         }
     }
 }
 
-fn index(of_host: &mut HashMap<HostId, SmallVec<[GroupId; 2]>>, host: &HostId, id: &GroupId) {
-    let ids = of_host.entry(host.clone()).or_default();
+fn add_to_index(
+    by_member: &mut HashMap<HostId, SmallVec<[GroupId; 2]>>,
+    host: &HostId,
+    id: &GroupId,
+) {
+    let ids = by_member.entry(host.clone()).or_default();
     if let Err(at) = ids.binary_search(id) {
         ids.insert(at, id.clone());
     }
