--- a/crates/claim/src/batch.rs
+++ b/crates/claim/src/batch.rs
@@ -6,7 +6,7 @@
 use eelgrassmill_base::value;
 
 use crate::key::ClaimKey;
-use crate::row::{RowChange, Seen};
+use crate::row::{RowChange, VersionedRow};
 
 /// Changes of one transaction by default.
 const MAX_BATCH: usize = 64;
@@ -25,15 +25,15 @@
         /// Its key.
         pub key: ClaimKey,
         /// What is there.
-        pub seen: Seen,
+        pub current: VersionedRow,
     }
 
     /// A batch that conflicted, taken apart.
-    pub struct Split {
+    pub struct ConflictSplit {
         /// These lost, to what is there (`None`: absent).
-        pub lost: Vec<(RowChange, Option<Seen>)>,
+        pub conflicted: Vec<(RowChange, Option<VersionedRow>)>,
         /// These are to be tried again at once, each batch in a transaction of its own.
-        pub again: Vec<Batch>,
+        pub retry: Vec<Batch>,
     }
 }
 
@@ -108,27 +108,27 @@
     /// A conflict names the rows that are there but not those that are absent, so
     /// a change of an existing row that isn't named may have lost too; it goes alone,
     /// where a conflict without rows can only mean itself.
-    pub fn split(self, conflicts: impl IntoIterator<Item = ConflictRow>) -> Split {
-        let mut there: BTreeMap<ClaimKey, Seen> =
-            conflicts.into_iter().map(|c| (c.key, c.seen)).collect();
+    pub fn split(self, conflicts: impl IntoIterator<Item = ConflictRow>) -> ConflictSplit {
+        let mut current_rows: BTreeMap<ClaimKey, VersionedRow> =
+            conflicts.into_iter().map(|c| (c.key, c.current)).collect();
         let alone = self.changes.len() == 1;
-        let mut split = Split {
-            lost: Vec::new(),
-            again: Vec::new(),
+        let mut split = ConflictSplit {
+            conflicted: Vec::new(),
+            retry: Vec::new(),
         };
-        let mut together = Vec::new();
+        let mut inserts = Vec::new();
         for change in self.changes {
-            match there.remove(&change.key) {
-                Some(seen) => split.lost.push((change, Some(seen))),
-                None if alone => split.lost.push((change, None)),
-                None if change.version == 0 => together.push(change),
-                None => split.again.push(Batch {
+            match current_rows.remove(&change.key) {
+                Some(current) => split.conflicted.push((change, Some(current))),
+                None if alone => split.conflicted.push((change, None)),
+                None if change.version == 0 => inserts.push(change),
+                None => split.retry.push(Batch {
                     changes: vec![change],
                 }),
             }
         }
-        if !together.is_empty() {
-            split.again.push(Batch { changes: together });
+        if !inserts.is_empty() {
+            split.retry.push(Batch { changes: inserts });
         }
         split
     }
--- a/crates/claim/src/claim.rs
+++ b/crates/claim/src/claim.rs
@@ -4,7 +4,9 @@
 
 use eelgrassmill_base::{Outcome, value};
 
-use crate::row::{ClaimError, ClaimRow, ClaimState, KeptAnswer, RowChange, Seen, WriteOutcome};
+use crate::row::{
+    ClaimError, ClaimRow, ClaimState, KeptAnswer, RowChange, VersionedRow, WriteOutcome,
+};
 
 /// A claim is dispatched no later than this after its write was begun.
 ///
@@ -28,7 +30,7 @@
         /// The request may be dispatched.
         Held,
         /// Another claim is there; decide again from it.
-        Lost(Option<Seen>),
+        Lost(Option<VersionedRow>),
         /// Nothing is or will be dispatched: tell the caller `not-run` at once.
         /// The change, if any, is to be written until it is settled.
         Abandoned(Option<RowChange>),
@@ -113,16 +115,16 @@
                 self.change.version += 1;
                 Claimed::Held
             }
-            WriteOutcome::Conflict(Some(seen)) if seen.row == self.row => {
+            WriteOutcome::Conflict(Some(current)) if current.row == self.row => {
                 // A write that was sent twice conflicts with itself: the claim is made.
                 // Taken for another's claim, it would be in progress for good.
                 self.phase = Phase::Held;
-                self.change.version = seen.version;
+                self.change.version = current.version;
                 Claimed::Held
             }
-            WriteOutcome::Conflict(seen) => {
+            WriteOutcome::Conflict(current) => {
                 self.phase = Phase::Closed;
-                Claimed::Lost(seen)
+                Claimed::Lost(current)
             }
             WriteOutcome::Unavailable => {
                 self.phase = Phase::Closed;
@@ -185,12 +187,12 @@
         match outcome {
             WriteOutcome::Committed => None,
             WriteOutcome::Unavailable | WriteOutcome::Unknown => Some(self.change.clone()),
-            WriteOutcome::Conflict(seen) => {
-                let seen = seen?;
-                if !seen.row.is_attempt(&self.row) || !self.may_replace(&seen.row.state) {
+            WriteOutcome::Conflict(current) => {
+                let current = current?;
+                if !current.row.is_attempt(&self.row) || !self.may_replace(&current.row.state) {
                     return None;
                 }
-                self.change.version = seen.version;
+                self.change.version = current.version;
                 Some(self.change.clone())
             }
         }
--- a/crates/claim/src/decide.rs
+++ b/crates/claim/src/decide.rs
@@ -6,7 +6,7 @@
 
 use crate::era::{Era, expiry};
 use crate::key::{ClaimKey, Fingerprint};
-use crate::row::{AttemptId, ClaimRow, ClaimState, KeptAnswer, Owner, RowChange, Seen};
+use crate::row::{AttemptId, ClaimRow, ClaimState, KeptAnswer, Owner, RowChange, VersionedRow};
 
 /// Shortest time after which a repeat of a running request may ask again.
 const ASK_AGAIN: Duration = Duration::from_millis(1000);
@@ -68,8 +68,8 @@
 ///
 /// Whether the owner is alive changes only what the caller is told. A lapsed
 /// owner may be paused just before its dispatch, so its key is never claimed anew.
-pub fn decide(seen: Option<&Seen>, req: &ClaimRequest, owner: OwnerState) -> Decision {
-    let Some(Seen { row, version }) = seen else {
+pub fn decide(current: Option<&VersionedRow>, req: &ClaimRequest, owner: OwnerState) -> Decision {
+    let Some(VersionedRow { row, version }) = current else {
         return make_claim(req, 0);
     };
     if row.fingerprint != req.fingerprint {
--- a/crates/claim/src/era.rs
+++ b/crates/claim/src/era.rs
@@ -11,7 +11,7 @@
 
 use crate::decide::OwnerState;
 use crate::key::ClaimKey;
-use crate::row::{ClaimState, RowChange, Seen};
+use crate::row::{ClaimState, RowChange, VersionedRow};
 
 /// Counts periods of at least [`ERA_LENGTH`].
 pub type Era = u64;
@@ -79,12 +79,17 @@
     ///
     /// A claim of a live owner stays: its request may still be running, and
     /// a repeat would run it a second time.
-    pub fn sweep(&self, key: &ClaimKey, seen: &Seen, owner: OwnerState) -> Option<RowChange> {
-        let running = seen.row.state == ClaimState::Claimed && owner == OwnerState::Alive;
-        let over = seen.row.expires <= self.era && !running;
+    pub fn sweep(
+        &self,
+        key: &ClaimKey,
+        current: &VersionedRow,
+        owner: OwnerState,
+    ) -> Option<RowChange> {
+        let running = current.row.state == ClaimState::Claimed && owner == OwnerState::Alive;
+        let over = current.row.expires <= self.era && !running;
         over.then(|| RowChange {
             key: key.clone(),
-            version: seen.version,
+            version: current.version,
             row: None,
         })
     }
--- a/crates/claim/src/row.rs
+++ b/crates/claim/src/row.rs
@@ -65,7 +65,7 @@
     }
 
     /// A row as read.
-    pub struct Seen {
+    pub struct VersionedRow {
         /// Its value.
         pub row: ClaimRow,
         /// Its version.
@@ -89,7 +89,7 @@
         /// It was made.
         Committed,
         /// It was not made, since the row is this one (`None`: absent).
-        Conflict(Option<Seen>),
+        Conflict(Option<VersionedRow>),
         /// It certainly had no effect.
         Unavailable,
         /// It may have been made, or may be made later.
--- a/crates/claim/tests/claims.rs
+++ b/crates/claim/tests/claims.rs
@@ -28,8 +28,8 @@
     }
 }
 
-fn seen(change: &RowChange, version: u64) -> Seen {
-    Seen {
+fn versioned(change: &RowChange, version: u64) -> VersionedRow {
+    VersionedRow {
         row: change.row.clone().expect("a row"),
         version,
     }
@@ -38,7 +38,7 @@
 fn conflict(change: &RowChange, version: u64) -> ConflictRow {
     ConflictRow {
         key: change.key.clone(),
-        seen: seen(change, version),
+        current: versioned(change, version),
     }
 }
 
@@ -52,7 +52,7 @@
         OwnerState::Alive,
     ));
     let decision = decide(
-        Some(&seen(&first, 1)),
+        Some(&versioned(&first, 1)),
         &request("k", b"notice B", "2"),
         OwnerState::Alive,
     );
@@ -70,7 +70,7 @@
     let now = Instant::now();
     let change = claim_of(decide(None, &request("k", b"", "1"), OwnerState::Alive));
     let mut claim = Claim::new(change.clone(), now).expect("a claim");
-    let outcome = WriteOutcome::Conflict(Some(seen(&change, 4)));
+    let outcome = WriteOutcome::Conflict(Some(versioned(&change, 4)));
     expect_that!(claim.on_claimed(outcome.clone()), eq(&Claimed::Held));
     expect_that!(claim.dispatch(now), ok(anything()));
     expect_that!(claim.on_claimed(outcome), eq(&Claimed::Ignored));
@@ -127,10 +127,14 @@
         .expect("no duplicate")
         .expect("full");
     let split = batch.split([conflict(&claims[1], 5)]);
-    let lost: Vec<_> = split.lost.iter().map(|(change, _)| &change.key).collect();
+    let lost: Vec<_> = split
+        .conflicted
+        .iter()
+        .map(|(change, _)| &change.key)
+        .collect();
     expect_that!(lost, elements_are![eq(&&claims[1].key)]);
-    expect_that!(split.again.len(), eq(1));
-    expect_that!(split.again[0].changes.len(), eq(2));
+    expect_that!(split.retry.len(), eq(1));
+    expect_that!(split.retry[0].changes.len(), eq(2));
 }
 
 /// A row of a batch was deleted meanwhile; the conflict doesn't name absent rows.
@@ -144,12 +148,12 @@
         changes: vec![change, other],
     }
     .split([]);
-    expect_that!(split.lost, is_empty());
-    expect_that!(split.again.len(), eq(2));
-    for batch in split.again {
+    expect_that!(split.conflicted, is_empty());
+    expect_that!(split.retry.len(), eq(2));
+    for batch in split.retry {
         let split = batch.split([]);
-        expect_that!(split.again, is_empty());
-        expect_that!(split.lost, elements_are![anything()]);
+        expect_that!(split.retry, is_empty());
+        expect_that!(split.conflicted, elements_are![anything()]);
     }
 }
 
@@ -168,7 +172,7 @@
     let change = clock.advance(start + ERA_LENGTH);
     expect_that!(change, some(eq(EraChange { version: 3, era: 8 })));
     let req = request("k", b"", "1");
-    let there = seen(&claim_of(decide(None, &req, OwnerState::Alive)), 1);
+    let there = versioned(&claim_of(decide(None, &req, OwnerState::Alive)), 1);
     let eras = (7..).take_while(|era| {
         clock.observe(*era, *era, start);
         clock.sweep(&req.key, &there, OwnerState::Lapsed).is_none()
--- a/crates/claim/tests/fuzz/store.rs
+++ b/crates/claim/tests/fuzz/store.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use eelgrassmill_claim::{Batch, ClaimKey, ClaimRow, ConflictRow, Seen};
+use eelgrassmill_claim::{Batch, ClaimKey, ClaimRow, ConflictRow, VersionedRow};
 
 #[derive(Debug, Default)]
 pub(crate) struct Store {
@@ -11,9 +11,9 @@
 }
 
 impl Store {
-    pub(crate) fn read(&self, key: &ClaimKey) -> Option<Seen> {
+    pub(crate) fn read(&self, key: &ClaimKey) -> Option<VersionedRow> {
         let (version, row) = self.rows.get(key)?.clone();
-        row.map(|row| Seen { row, version })
+        row.map(|row| VersionedRow { row, version })
     }
 
     pub(crate) fn keys(&self) -> Vec<ClaimKey> {
@@ -30,10 +30,10 @@
             .collect();
         if !lost.is_empty() {
             let there = lost.iter().filter_map(|c| {
-                let seen = self.read(&c.key)?;
+                let current = self.read(&c.key)?;
                 Some(ConflictRow {
                     key: c.key.clone(),
-                    seen,
+                    current,
                 })
             });
             return Err(there.collect());
--- a/crates/claim/tests/fuzz/world.rs
+++ b/crates/claim/tests/fuzz/world.rs
@@ -199,11 +199,11 @@
             era: 0,
             keep: KEEP,
         };
-        let seen = self.store.read(&req.key);
-        let owner = seen.as_ref().map_or(OwnerState::Alive, |s| {
+        let current = self.store.read(&req.key);
+        let owner = current.as_ref().map_or(OwnerState::Alive, |s| {
             self.owner_state(&s.row, Some(&req.owner))
         });
-        let told = match decide(seen.as_ref(), &req, owner) {
+        let told = match decide(current.as_ref(), &req, owner) {
             Decision::MakeClaim(change) => return self.claim(i, change),
             Decision::ReplayAnswer(kept) => Told::Answer(kept.length),
             Decision::InProgress { .. } => Told::InProgress,
@@ -310,11 +310,11 @@
             return;
         };
         let split = batch.split(rows);
-        for batch in split.again {
+        for batch in split.retry {
             self.send(entry, batch);
         }
-        for (change, seen) in split.lost {
-            self.outcome(&change, WriteOutcome::Conflict(seen));
+        for (change, current) in split.conflicted {
+            self.outcome(&change, WriteOutcome::Conflict(current));
         }
     }
 
@@ -442,11 +442,11 @@
         let mut clock = EraClock::default();
         clock.observe(Era::MAX, 1, self.now);
         for key in self.store.keys() {
-            let Some(seen) = self.store.read(&key) else {
+            let Some(current) = self.store.read(&key) else {
                 continue;
             };
-            let owner = self.owner_state(&seen.row, None);
-            if let Some(change) = clock.sweep(&key, &seen, owner) {
+            let owner = self.owner_state(&current.row, None);
+            if let Some(change) = clock.sweep(&key, &current, owner) {
                 let deleted = self.store.commit(&Batch {
                     changes: vec![change],
                 });
--- a/crates/node/src/loops/sweep.rs
+++ b/crates/node/src/loops/sweep.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use eelgrassmill_claim::{CLAIM_PREFIX, ClaimRow, OwnerState, RowChange, Seen, WriteOutcome};
+use eelgrassmill_claim::{
+    CLAIM_PREFIX, ClaimRow, OwnerState, RowChange, VersionedRow, WriteOutcome,
+};
 use eelgrassmill_stores::{Row, Table};
 
 use crate::once::{ClaimStore, owner_state};
@@ -68,7 +70,7 @@
     }
 
     fn deletion(&self, row: &Row) -> Option<RowChange> {
-        let seen = Seen {
+        let seen = VersionedRow {
             row: ClaimRow::decode(&row.value).ok()?,
             version: row.version,
         };
--- a/crates/node/src/once/run.rs
+++ b/crates/node/src/once/run.rs
@@ -8,7 +8,7 @@
 use eelgrassmill_base::Outcome;
 use eelgrassmill_claim::{
     AttemptId, Claim, ClaimRequest, Claimed, Decision, DispatchOutcome, KeptAnswer, Owner,
-    OwnerState, RowChange, Seen, WriteOutcome, claim_key, decide, fingerprint,
+    OwnerState, RowChange, VersionedRow, WriteOutcome, claim_key, decide, fingerprint,
 };
 use eelgrassmill_stores::ObjectStore;
 use eelgrassmill_timeline::EventKind;
@@ -111,7 +111,7 @@
     /// Tries for the claim until it is held or the row says what to tell.
     async fn claim(&self) -> Next {
         // Most keys are new: the first try goes without a read.
-        let mut seen: Option<Seen> = None;
+        let mut seen: Option<VersionedRow> = None;
         for round in 0..ROUNDS {
             // Each round is an attempt of its own: a late write of an earlier one
             // must not be taken for this one's.
@@ -162,7 +162,7 @@
     }
 
     /// Whether the owner of a claim may still be running it.
-    fn owner(&self, seen: &Seen) -> OwnerState {
+    fn owner(&self, seen: &VersionedRow) -> OwnerState {
         let owner = &seen.row.owner;
         if *owner == self.core.ident.owner() {
             return match lock(&self.once.abandoned).contains(&seen.row.attempt) {
--- a/crates/node/src/once/store.rs
+++ b/crates/node/src/once/store.rs
@@ -7,7 +7,8 @@
 
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use eelgrassmill_claim::{
-    Batch, ClaimBatcher, ClaimRow, ConflictRow, RowChange, Seen, StoreDown, StoreGate, WriteOutcome,
+    Batch, ClaimBatcher, ClaimRow, ConflictRow, RowChange, StoreDown, StoreGate, VersionedRow,
+    WriteOutcome,
 };
 use eelgrassmill_stores::{Condition, Row, Table, TableError, Txn, TxnOutcome, Write};
 use tokio::sync::oneshot;
@@ -138,10 +139,10 @@
                 Ok(TxnOutcome::Conflict(rows)) => {
                     lock(&self.gate).on_answer();
                     let split = batch.split(rows.iter().filter_map(conflict_row));
-                    for (change, seen) in split.lost {
-                        self.answer(&change, WriteOutcome::Conflict(seen));
+                    for (change, current) in split.conflicted {
+                        self.answer(&change, WriteOutcome::Conflict(current));
                     }
-                    left.extend(split.again);
+                    left.extend(split.retry);
                 }
                 Err(err) => {
                     tracing::debug!(%err, "claims not written");
@@ -187,12 +188,12 @@
 }
 
 fn conflict_row(row: &Row) -> Option<ConflictRow> {
-    let seen = Seen {
+    let current = VersionedRow {
         row: ClaimRow::decode(&row.value).ok()?,
         version: row.version,
     };
     Some(ConflictRow {
         key: row.key.clone(),
-        seen,
+        current,
     })
 }
