--- a/crates/claim/src/claim.rs
+++ b/crates/claim/src/claim.rs
@@ -5,14 +5,14 @@
 use eelgrassmill_base::{Outcome, value};
 
 use crate::row::{
-    ClaimError, ClaimRow, ClaimState, KeptAnswer, RowChange, VersionedRow, WriteOutcome,
+    ClaimError, ClaimRow, ClaimState, RowChange, StoredResponse, VersionedRow, WriteOutcome,
 };
 
 /// A claim is dispatched no later than this after its write was begun.
 ///
 /// Far below the shortest time that a claim is kept: an owner that was paused for so
 /// long that its row was deleted, and its key claimed anew, finds its claim too old.
-pub const MAX_HOLD: Duration = Duration::from_secs(120);
+pub const MAX_CLAIM_AGE: Duration = Duration::from_secs(120);
 
 value! {
     /// What became of a dispatch under a claim.
@@ -20,13 +20,13 @@
         /// The target refused it, or no byte left for it: certainly not run.
         NotRun,
         /// It ran, and its whole answer has been put in the object store.
-        Answered(KeptAnswer),
+        Answered(StoredResponse),
         /// It may have run, or its answer could not be kept.
         Unknown,
     }
 
     /// What the claim's own write allows.
-    pub enum Claimed {
+    pub enum ClaimResult {
         /// The request may be dispatched.
         Held,
         /// Another claim is there; decide again from it.
@@ -72,7 +72,7 @@
     /// until its row was deleted would find the key free and run a second time.
     ///
     /// # Errors
-    /// [`ClaimError::NoDispatch`] when the change is no claim.
+    /// [`ClaimError::DispatchNotPermitted`] when the change is no claim.
     pub fn new(change: RowChange, began: Instant) -> Result<Claim, ClaimError> {
         match &change.row {
             Some(row) if row.state == ClaimState::Claimed => Ok(Claim {
@@ -81,7 +81,7 @@
                 change,
                 began,
             }),
-            _ => Err(ClaimError::NoDispatch),
+            _ => Err(ClaimError::DispatchNotPermitted),
         }
     }
 
@@ -103,9 +103,9 @@
     /// the entry writes `Released` on the same condition: when that is
     /// made, the lost write can't be made any more; when it fails on our own row,
     /// it is repeated on that row's version.
-    pub fn on_claimed(&mut self, outcome: WriteOutcome) -> Claimed {
+    pub fn on_claim_written(&mut self, outcome: WriteOutcome) -> ClaimResult {
         if self.phase != Phase::Claiming {
-            return Claimed::Ignored;
+            return ClaimResult::Ignored;
         }
         match outcome {
             WriteOutcome::Committed => {
@@ -113,36 +113,36 @@
                 // Right when the row was never deleted; a wrong guess only conflicts,
                 // since our own write is known to have made a version of its own.
                 self.change.version += 1;
-                Claimed::Held
+                ClaimResult::Held
             }
             WriteOutcome::Conflict(Some(current)) if current.row == self.row => {
                 // A write that was sent twice conflicts with itself: the claim is made.
                 // Taken for another's claim, it would be in progress for good.
                 self.phase = Phase::Held;
                 self.change.version = current.version;
-                Claimed::Held
+                ClaimResult::Held
             }
             WriteOutcome::Conflict(current) => {
                 self.phase = Phase::Closed;
-                Claimed::Lost(current)
+                ClaimResult::Lost(current)
             }
             WriteOutcome::Unavailable => {
                 self.phase = Phase::Closed;
-                Claimed::Abandoned(None)
+                ClaimResult::Abandoned(None)
             }
-            WriteOutcome::Unknown => Claimed::Abandoned(Some(self.close(ClaimState::Released))),
+            WriteOutcome::Unknown => ClaimResult::Abandoned(Some(self.close(ClaimState::Released))),
         }
     }
 
     /// Permits one dispatch.
     ///
     /// # Errors
-    /// [`ClaimError::NoDispatch`] unless the claim is held, young enough, and nothing
+    /// [`ClaimError::DispatchNotPermitted`] unless the claim is held, young enough, and nothing
     /// may be running.
     pub fn dispatch(&mut self, now: Instant) -> Result<(), ClaimError> {
-        let too_old = now.saturating_duration_since(self.began) > MAX_HOLD;
+        let too_old = now.saturating_duration_since(self.began) > MAX_CLAIM_AGE;
         if self.phase != Phase::Held || too_old {
-            return Err(ClaimError::NoDispatch);
+            return Err(ClaimError::DispatchNotPermitted);
         }
         self.phase = Phase::Dispatched;
         Ok(())
@@ -151,7 +151,7 @@
     /// Takes the outcome of a dispatch; the change, if any, is to be written.
     ///
     /// After `NotRun` the claim is held again: dispatch elsewhere, or `release`.
-    pub fn after(&mut self, outcome: DispatchOutcome) -> Option<RowChange> {
+    pub fn on_dispatched(&mut self, outcome: DispatchOutcome) -> Option<RowChange> {
         if self.phase != Phase::Dispatched {
             return None;
         }
@@ -173,7 +173,7 @@
     /// What a caller may truthfully be told now, without an answer in hand.
     ///
     /// `not-run` only once nothing can be dispatched any more.
-    pub fn told(&self) -> Outcome {
+    pub fn reportable_outcome(&self) -> Outcome {
         match (self.phase, &self.row.state) {
             (Phase::Closed, ClaimState::Answered(_)) => Outcome::Answered,
             (Phase::Closed, ClaimState::Released | ClaimState::Claimed) => Outcome::NotRun,
--- a/crates/claim/src/decide.rs
+++ b/crates/claim/src/decide.rs
@@ -6,7 +6,7 @@
 
 use crate::era::{Era, expiry};
 use crate::key::{ClaimKey, Fingerprint};
-use crate::row::{AttemptId, ClaimRow, ClaimState, KeptAnswer, Owner, RowChange, VersionedRow};
+use crate::row::{AttemptId, ClaimRow, ClaimState, Owner, RowChange, StoredResponse, VersionedRow};
 
 /// Shortest time after which a repeat of a running request may ask again.
 const ASK_AGAIN: Duration = Duration::from_millis(1000);
@@ -28,7 +28,7 @@
         pub era: Era,
         /// How long the row is kept, counted from the claim: the service's
         /// `keep_answers`, and its `timeout` for the run itself.
-        pub keep: Duration,
+        pub retention: Duration,
     }
 
     /// What the entry does.
@@ -36,19 +36,19 @@
         /// Write this row; dispatch only when the write is known to be made.
         MakeClaim(RowChange),
         /// Give the kept answer, after checking that it is whole.
-        ReplayAnswer(KeptAnswer),
+        ReplayResponse(StoredResponse),
         /// It runs, or may be about to.
         InProgress {
             /// When to ask again.
             retry_after: Duration,
         },
         /// It may have run; it is never run again under this key.
-        ToldUnknown {
+        ReportUnknown {
             /// Writes that down, so that the next entry need not judge the owner.
-            mark: Option<RowChange>,
+            update: Option<RowChange>,
         },
         /// The key was used with another body (422).
-        MismatchedBody,
+        FingerprintMismatch,
     }
 }
 
@@ -58,7 +58,7 @@
         /// Its lease stands: it may be running the request.
         Alive,
         /// Its lease has lapsed as this entry observed it, or it has started anew.
-        Lapsed,
+        LeaseExpired,
         /// It is this entry, which abandoned the attempt before any dispatch.
         Abandoned,
     }
@@ -73,17 +73,17 @@
         return make_claim(req, 0);
     };
     if row.fingerprint != req.fingerprint {
-        return Decision::MismatchedBody;
+        return Decision::FingerprintMismatch;
     }
     match &row.state {
-        ClaimState::Answered(kept) => Decision::ReplayAnswer(kept.clone()),
-        ClaimState::Unknown => Decision::ToldUnknown { mark: None },
+        ClaimState::Answered(kept) => Decision::ReplayResponse(kept.clone()),
+        ClaimState::Unknown => Decision::ReportUnknown { update: None },
         ClaimState::Released => make_claim(req, *version),
         ClaimState::Claimed => match owner {
             OwnerState::Abandoned => make_claim(req, *version),
             OwnerState::Alive => in_progress(req),
-            OwnerState::Lapsed => Decision::ToldUnknown {
-                mark: Some(RowChange {
+            OwnerState::LeaseExpired => Decision::ReportUnknown {
+                update: Some(RowChange {
                     key: req.key.clone(),
                     version: *version,
                     row: Some(row.with_state(ClaimState::Unknown)),
@@ -98,7 +98,7 @@
         fingerprint: req.fingerprint.clone(),
         owner: req.owner.clone(),
         attempt: req.attempt.clone(),
-        expires: expiry(req.era, req.keep),
+        expires: expiry(req.era, req.retention),
         state: ClaimState::Claimed,
     };
     Decision::MakeClaim(RowChange {
--- a/crates/claim/src/era.rs
+++ b/crates/claim/src/era.rs
@@ -25,9 +25,9 @@
 const STARTED_ERAS: Era = 2;
 
 /// The first era in which a claim written in `era` may be deleted.
-pub(crate) fn expiry(era: Era, keep: Duration) -> Era {
-    let whole = keep.as_secs().div_ceil(ERA_LENGTH.as_secs());
-    era + whole + STARTED_ERAS
+pub(crate) fn expiry(era: Era, retention: Duration) -> Era {
+    let whole_eras = retention.as_secs().div_ceil(ERA_LENGTH.as_secs());
+    era + whole_eras + STARTED_ERAS
 }
 
 value! { copy
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -13,12 +13,12 @@
 mod row;
 
 pub use crate::batch::{Batch, ClaimBatcher, ConflictRow, ConflictSplit, KeyBusy};
-pub use crate::claim::{Claim, Claimed, DispatchOutcome, MAX_HOLD};
+pub use crate::claim::{Claim, ClaimResult, DispatchOutcome, MAX_CLAIM_AGE};
 pub use crate::decide::{ClaimRequest, Decision, OwnerState, decide};
 pub use crate::era::{ERA_KEY, ERA_LENGTH, Era, EraChange, EraClock};
 pub use crate::gate::{StoreDown, StoreGate};
 pub use crate::key::{CLAIM_PREFIX, ClaimKey, Fingerprint, claim_key, fingerprint};
 pub use crate::row::{
-    AttemptId, ClaimError, ClaimRow, ClaimState, KeptAnswer, Owner, RowChange, VersionedRow,
+    AttemptId, ClaimError, ClaimRow, ClaimState, Owner, RowChange, StoredResponse, VersionedRow,
     WriteOutcome,
 };
--- a/crates/claim/src/row.rs
+++ b/crates/claim/src/row.rs
@@ -20,7 +20,7 @@
     }
 
     /// Where the whole answer of a claimed request is kept.
-    pub struct KeptAnswer {
+    pub struct StoredResponse {
         /// Its key in the object store.
         pub object: SmolStr,
         /// Its HTTP status.
@@ -39,7 +39,7 @@
         /// Its owner may dispatch it, or has done so.
         Claimed,
         /// It ran, and its answer is kept.
-        Answered(KeptAnswer),
+        Answered(StoredResponse),
         /// It may have run; nobody can tell.
         Unknown,
         /// It was not run and its attempt never will be: the key may be claimed anew.
@@ -108,10 +108,10 @@
     Encode(String),
     /// The object isn't the whole answer that was kept.
     #[error("kept answer {0} is not whole")]
-    NotWhole(SmolStr),
+    BodyMismatch(SmolStr),
     /// The claim is not one under which a request may be dispatched now.
     #[error("claim does not permit a dispatch")]
-    NoDispatch,
+    DispatchNotPermitted,
 }
 
 impl ClaimRow {
@@ -143,15 +143,15 @@
     }
 }
 
-impl KeptAnswer {
+impl StoredResponse {
     /// Describes an answer that is to be put at `object`.
     pub fn new(
         object: impl Into<SmolStr>,
         status: u16,
         content_type: impl Into<SmolStr>,
         body: &[u8],
-    ) -> KeptAnswer {
-        KeptAnswer {
+    ) -> StoredResponse {
+        StoredResponse {
             object: object.into(),
             status,
             content_type: content_type.into(),
@@ -163,11 +163,11 @@
     /// Checks that `body` is the whole answer.
     ///
     /// # Errors
-    /// [`ClaimError::NotWhole`] when it is another or a part of it.
-    pub fn check(&self, body: &[u8]) -> Result<(), ClaimError> {
+    /// [`ClaimError::BodyMismatch`] when it is another or a part of it.
+    pub fn verify(&self, body: &[u8]) -> Result<(), ClaimError> {
         if body.len() as u64 == self.length && sha256(body) == self.sha256 {
             return Ok(());
         }
-        Err(ClaimError::NotWhole(self.object.clone()))
+        Err(ClaimError::BodyMismatch(self.object.clone()))
     }
 }
--- a/crates/claim/tests/claims.rs
+++ b/crates/claim/tests/claims.rs
@@ -5,7 +5,7 @@
 use eelgrassmill_claim::*;
 use googletest::prelude::*;
 
-const KEEP: Duration = Duration::from_secs(3600);
+const RETENTION: Duration = Duration::from_secs(3600);
 
 fn request(key: &str, body: &[u8], attempt: &str) -> ClaimRequest {
     ClaimRequest {
@@ -17,7 +17,7 @@
         },
         attempt: attempt.into(),
         era: 7,
-        keep: KEEP,
+        retention: RETENTION,
     }
 }
 
@@ -56,7 +56,7 @@
         &request("k", b"notice B", "2"),
         OwnerState::Alive,
     );
-    expect_that!(decision, eq(&Decision::MismatchedBody));
+    expect_that!(decision, eq(&Decision::FingerprintMismatch));
     expect_that!(
         claim_key("a", "bc", "d"),
         not(eq(&claim_key("ab", "c", "d")))
@@ -71,9 +71,12 @@
     let change = claim_of(decide(None, &request("k", b"", "1"), OwnerState::Alive));
     let mut claim = Claim::new(change.clone(), now).expect("a claim");
     let outcome = WriteOutcome::Conflict(Some(versioned(&change, 4)));
-    expect_that!(claim.on_claimed(outcome.clone()), eq(&Claimed::Held));
+    expect_that!(
+        claim.on_claim_written(outcome.clone()),
+        eq(&ClaimResult::Held)
+    );
     expect_that!(claim.dispatch(now), ok(anything()));
-    expect_that!(claim.on_claimed(outcome), eq(&Claimed::Ignored));
+    expect_that!(claim.on_claim_written(outcome), eq(&ClaimResult::Ignored));
     expect_that!(claim.dispatch(now), err(anything()));
 }
 
@@ -84,10 +87,10 @@
     let now = Instant::now();
     let change = claim_of(decide(None, &request("k", b"", "1"), OwnerState::Alive));
     let mut claim = Claim::new(change, now).expect("a claim");
-    claim.on_claimed(WriteOutcome::Committed);
-    expect_that!(MAX_HOLD, lt(ERA_LENGTH));
+    claim.on_claim_written(WriteOutcome::Committed);
+    expect_that!(MAX_CLAIM_AGE, lt(ERA_LENGTH));
     expect_that!(
-        claim.dispatch(now + MAX_HOLD + Duration::from_secs(1)),
+        claim.dispatch(now + MAX_CLAIM_AGE + Duration::from_secs(1)),
         err(anything())
     );
     expect_that!(claim.release(), some(anything()));
@@ -97,10 +100,10 @@
 /// answer is lost, never be given the half.
 #[googletest::test]
 fn a_truncated_answer_is_not_replayed() {
-    let kept = KeptAnswer::new("claim/x", 200, "text/plain", b"the whole answer");
-    expect_that!(kept.check(b"the whole answer"), ok(anything()));
-    expect_that!(kept.check(b"the whole"), err(anything()));
-    expect_that!(kept.check(b"the whole answeR"), err(anything()));
+    let kept = StoredResponse::new("claim/x", 200, "text/plain", b"the whole answer");
+    expect_that!(kept.verify(b"the whole answer"), ok(anything()));
+    expect_that!(kept.verify(b"the whole"), err(anything()));
+    expect_that!(kept.verify(b"the whole answeR"), err(anything()));
 }
 
 /// Two entries claim one key in the same instant, each in a batch with other callers'
@@ -175,10 +178,12 @@
     let there = versioned(&claim_of(decide(None, &req, OwnerState::Alive)), 1);
     let eras = (7..).take_while(|era| {
         clock.observe(*era, *era, start);
-        clock.sweep(&req.key, &there, OwnerState::Lapsed).is_none()
+        clock
+            .sweep(&req.key, &there, OwnerState::LeaseExpired)
+            .is_none()
     });
     let whole = eras.count() as u32 - 1;
-    expect_that!(ERA_LENGTH * whole, ge(KEEP));
+    expect_that!(ERA_LENGTH * whole, ge(RETENTION));
     clock.observe(1000, 1000, start);
     expect_that!(clock.sweep(&req.key, &there, OwnerState::Alive), none());
 }
--- a/crates/claim/tests/fuzz/world.rs
+++ b/crates/claim/tests/fuzz/world.rs
@@ -11,7 +11,7 @@
 
 pub(crate) const ENTRIES: usize = 2;
 const TENANT: &str = "lindach";
-const KEEP: Duration = Duration::from_secs(3600);
+const RETENTION: Duration = Duration::from_secs(3600);
 
 /// What a caller was told of one call.
 #[derive(Clone, Debug, PartialEq)]
@@ -197,7 +197,7 @@
             },
             attempt: format!("{i}.{}", call.attempts).into(),
             era: 0,
-            keep: KEEP,
+            retention: RETENTION,
         };
         let current = self.store.read(&req.key);
         let owner = current.as_ref().map_or(OwnerState::Alive, |s| {
@@ -205,14 +205,14 @@
         });
         let told = match decide(current.as_ref(), &req, owner) {
             Decision::MakeClaim(change) => return self.claim(i, change),
-            Decision::ReplayAnswer(kept) => Told::Answer(kept.length),
+            Decision::ReplayResponse(kept) => Told::Answer(kept.length),
             Decision::InProgress { .. } => Told::InProgress,
-            Decision::ToldUnknown { mark } => {
+            Decision::ReportUnknown { update } => {
                 let entry = self.calls[i].entry;
-                mark.into_iter().for_each(|c| self.write(entry, c));
+                update.into_iter().for_each(|c| self.write(entry, c));
                 Told::Unknown
             }
-            Decision::MismatchedBody => Told::Mismatch,
+            Decision::FingerprintMismatch => Told::Mismatch,
         };
         self.calls[i].told = Some(told);
     }
@@ -224,7 +224,7 @@
         }
         let dead = call.incarnation != self.entries[call.entry].incarnation;
         match dead || self.lapsed.contains(&(call.entry, call.incarnation)) {
-            true => OwnerState::Lapsed,
+            true => OwnerState::LeaseExpired,
             false => OwnerState::Alive,
         }
     }
@@ -339,11 +339,11 @@
     fn claimed(&mut self, i: usize, outcome: WriteOutcome) {
         let call = &mut self.calls[i];
         let Some(claim) = &mut call.claim else { return };
-        match claim.on_claimed(outcome) {
-            Claimed::Ignored => (),
-            Claimed::Held => self.dispatch(i),
-            Claimed::Lost(_) => self.decide(i),
-            Claimed::Abandoned(change) => {
+        match claim.on_claim_written(outcome) {
+            ClaimResult::Ignored => (),
+            ClaimResult::Held => self.dispatch(i),
+            ClaimResult::Lost(_) => self.decide(i),
+            ClaimResult::Abandoned(change) => {
                 call.awaits = None;
                 call.steps += 1;
                 call.abandoned = true;
@@ -385,7 +385,7 @@
         }
         match ran {
             Some(run) => {
-                let kept = KeptAnswer::new("o", 200, "text/plain", &vec![b'x'; run as usize]);
+                let kept = StoredResponse::new("o", 200, "text/plain", &vec![b'x'; run as usize]);
                 self.after(i, DispatchOutcome::Answered(kept), Some(Told::Answer(run)));
             }
             None => {
@@ -400,7 +400,7 @@
         call.awaits = None;
         call.steps += 1;
         call.told = told;
-        let change = call.claim.as_mut().and_then(|c| c.after(outcome));
+        let change = call.claim.as_mut().and_then(|c| c.on_dispatched(outcome));
         let entry = call.entry;
         change.into_iter().for_each(|c| self.write(entry, c));
     }
@@ -437,7 +437,7 @@
 
     /// Keys have been kept for their time, and the rows that may go are deleted.
     pub(crate) fn sweep(&mut self) {
-        self.now += KEEP + 2 * ERA_LENGTH;
+        self.now += RETENTION + 2 * ERA_LENGTH;
         self.generation += 1;
         let mut clock = EraClock::default();
         clock.observe(Era::MAX, 1, self.now);
--- a/crates/node/src/once/run.rs
+++ b/crates/node/src/once/run.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use eelgrassmill_base::Outcome;
 use eelgrassmill_claim::{
-    AttemptId, Claim, ClaimRequest, Claimed, Decision, DispatchOutcome, KeptAnswer, Owner,
-    OwnerState, RowChange, VersionedRow, WriteOutcome, claim_key, decide, fingerprint,
+    AttemptId, Claim, ClaimRequest, ClaimResult, Decision, DispatchOutcome, Owner, OwnerState,
+    RowChange, StoredResponse, VersionedRow, WriteOutcome, claim_key, decide, fingerprint,
 };
 use eelgrassmill_stores::ObjectStore;
 use eelgrassmill_timeline::EventKind;
@@ -126,15 +126,15 @@
                 Ok(claim) => claim,
                 Err(err) => return Next::Tell(Err(Problem::not_run(BUSY, err.to_string()))),
             };
-            match claim.on_claimed(self.once.store.write(change).await) {
-                Claimed::Held => {
+            match claim.on_claim_written(self.once.store.write(change).await) {
+                ClaimResult::Held => {
                     self.note_made();
                     return Next::Dispatch(Box::new(claim));
                 }
-                Claimed::Lost(there) => seen = there,
+                ClaimResult::Lost(there) => seen = there,
                 // The outcome of a write that is not this claim's; never the case here.
-                Claimed::Ignored => return Next::Tell(Err(table_gone())),
-                Claimed::Abandoned(change) => {
+                ClaimResult::Ignored => return Next::Tell(Err(table_gone())),
+                ClaimResult::Abandoned(change) => {
                     self.settle_later(claim, change);
                     return Next::Tell(Err(table_gone()));
                 }
@@ -149,15 +149,15 @@
         let key = call.key.as_deref().unwrap_or_default();
         let cfg = self.core.config.config();
         // Kept from the answer on, and counted from the claim.
-        let keep = cfg.services.get(&call.service);
-        let keep = keep.map(|s| s.keep_answers + s.timeout);
+        let retention = cfg.services.get(&call.service);
+        let retention = retention.map(|s| s.keep_answers + s.timeout);
         ClaimRequest {
             key: claim_key(&call.tenant, &call.service, key),
             fingerprint: fingerprint(call.method.as_str(), &call.path, &call.body),
             owner: self.core.ident.owner(),
             attempt: format_smolstr!("{}.{round}", call.id),
             era: lock(&self.core.era).era(),
-            keep: keep.unwrap_or_default(),
+            retention: retention.unwrap_or_default(),
         }
     }
 
@@ -178,21 +178,21 @@
             self.core.metrics.promise_guarded(Promise::AtMostOnce);
         }
         match told {
-            Decision::ReplayAnswer(kept) => self.replay(kept).await,
+            Decision::ReplayResponse(kept) => self.replay(kept).await,
             Decision::InProgress { retry_after } => {
                 let detail = "a call with this key is in progress; ask again for its answer";
                 Err(Problem::new(StatusCode::CONFLICT, Outcome::Unknown, detail)
                     .retry_after(retry_after))
             }
-            Decision::MismatchedBody => Err(Problem::not_run(
+            Decision::FingerprintMismatch => Err(Problem::not_run(
                 StatusCode::UNPROCESSABLE_ENTITY,
                 "the key was used with another request",
             )),
-            Decision::ToldUnknown { mark } => {
-                if let Some(mark) = mark {
+            Decision::ReportUnknown { update } => {
+                if let Some(update) = update {
                     // Whether this write is made doesn't matter: it only spares
                     // the next entry the judgement.
-                    let _ = self.once.store.write(mark).await;
+                    let _ = self.once.store.write(update).await;
                 }
                 Err(Problem::unknown(
                     "a call with this key may have run; it is not run again",
@@ -202,12 +202,12 @@
         }
     }
 
-    async fn replay(&self, kept: KeptAnswer) -> Reply {
+    async fn replay(&self, kept: StoredResponse) -> Reply {
         let core = self.core.clone();
         let object = kept.object.clone();
         let reading = tokio::task::spawn_blocking(move || core.platform.objects.get(&object));
         let body = match reading.await {
-            Ok(Ok(Some(body))) if kept.check(&body).is_ok() => Bytes::from(body),
+            Ok(Ok(Some(body))) if kept.verify(&body).is_ok() => Bytes::from(body),
             Ok(Ok(_)) => {
                 return Err(Problem::unknown(
                     "the call ran, but its kept answer is gone",
@@ -241,7 +241,7 @@
         match self.run_until_end(&tx).await {
             Ok(Ran::Whole(whole)) => {
                 let outcome = self.keep(&whole).await;
-                let change = claim.after(outcome);
+                let change = claim.on_dispatched(outcome);
                 // Written before the caller is answered, so that a repeat that
                 // follows the answer finds it. One try only: a table that is down
                 // would hold the answer back for as long, and the row protects
@@ -257,7 +257,7 @@
                     Ended::Whole(Some(bytes)) => self.keep(&stream_answer(bytes)).await,
                     _ => DispatchOutcome::Unknown,
                 };
-                let change = claim.after(outcome);
+                let change = claim.on_dispatched(outcome);
                 self.write_soon(claim, change).await
             }
             Err(problem) => self.failed(claim, problem, tx).await,
@@ -285,13 +285,13 @@
         tx: oneshot::Sender<Reply>,
     ) -> Option<RowChange> {
         if problem.outcome() == Outcome::NotRun {
-            claim.after(DispatchOutcome::NotRun);
+            claim.on_dispatched(DispatchOutcome::NotRun);
             let change = claim.release();
             // The answer goes out before the row is written: it doesn't wait for the table.
             drop(tx.send(Err(problem)));
             return self.write_soon(claim, change).await;
         }
-        let change = claim.after(DispatchOutcome::Unknown);
+        let change = claim.on_dispatched(DispatchOutcome::Unknown);
         // The row is written before the answer goes out, as for whole answers.
         let change = self.write_soon(claim, change).await;
         drop(tx.send(Err(problem)));
@@ -302,7 +302,7 @@
     async fn keep(&self, whole: &Whole) -> DispatchOutcome {
         let content_type = whole.content_type.as_ref().and_then(|v| v.to_str().ok());
         let object: SmolStr = format_smolstr!("answers/{}", self.call.id);
-        let kept = KeptAnswer::new(
+        let kept = StoredResponse::new(
             object.clone(),
             whole.status.as_u16(),
             content_type.unwrap_or_default(),
@@ -342,7 +342,7 @@
 
     /// Writes the claim's state until the table has it.
     async fn settle(&self, mut claim: Claim, change: Option<RowChange>) {
-        let told = claim.told();
+        let told = claim.reportable_outcome();
         let mut change = change;
         for _ in 0..WRITE_ATTEMPTS {
             let Some(next) = change else {
@@ -378,10 +378,10 @@
     let fleet = lock(&core.fleet);
     match fleet.nodes.get(&owner.node) {
         Some((row, _)) if row.incarnation == owner.incarnation => OwnerState::Alive,
-        Some((row, _)) if row.incarnation > owner.incarnation => OwnerState::Lapsed,
+        Some((row, _)) if row.incarnation > owner.incarnation => OwnerState::LeaseExpired,
         // Without a scan yet, nothing is known of any owner.
         _ if fleet.scanned.is_none() => OwnerState::Alive,
-        _ => OwnerState::Lapsed,
+        _ => OwnerState::LeaseExpired,
     }
 }
 
