--- a/crates/claim/src/claim.rs
+++ b/crates/claim/src/claim.rs
@@ -139,7 +139,7 @@
     /// # Errors
     /// [`ClaimError::DispatchNotPermitted`] unless the claim is held, young enough, and nothing
     /// may be running.
-    pub fn dispatch(&mut self, now: Instant) -> Result<(), ClaimError> {
+    pub fn begin_dispatch(&mut self, now: Instant) -> Result<(), ClaimError> {
         let too_old = now.saturating_duration_since(self.began) > MAX_CLAIM_AGE;
         if self.phase != Phase::Held || too_old {
             return Err(ClaimError::DispatchNotPermitted);
--- a/crates/claim/tests/claims.rs
+++ b/crates/claim/tests/claims.rs
@@ -75,9 +75,9 @@
         claim.on_claim_written(outcome.clone()),
         eq(&ClaimResult::Held)
     );
-    expect_that!(claim.dispatch(now), ok(anything()));
+    expect_that!(claim.begin_dispatch(now), ok(anything()));
     expect_that!(claim.on_claim_written(outcome), eq(&ClaimResult::Ignored));
-    expect_that!(claim.dispatch(now), err(anything()));
+    expect_that!(claim.begin_dispatch(now), err(anything()));
 }
 
 /// An entry is paused between its claim and the dispatch for longer than claims are
@@ -90,7 +90,7 @@
     claim.on_claim_written(WriteOutcome::Committed);
     expect_that!(MAX_CLAIM_AGE, lt(ERA_LENGTH));
     expect_that!(
-        claim.dispatch(now + MAX_CLAIM_AGE + Duration::from_secs(1)),
+        claim.begin_dispatch(now + MAX_CLAIM_AGE + Duration::from_secs(1)),
         err(anything())
     );
     expect_that!(claim.release(), some(anything()));
@@ -193,14 +193,14 @@
 #[googletest::test]
 fn an_outage_refuses_at_once() {
     let mut now = Instant::now();
-    let mut gate = StoreGate::new(1);
+    let mut breaker = StoreCircuitBreaker::new(1);
     let (mut tried, mut refused) = (0, 0);
     for _ in 0..36_000 {
         now += Duration::from_millis(100);
-        match gate.admit(now) {
+        match breaker.admit(now) {
             Ok(()) => {
                 tried += 1;
-                gate.on_failure(now);
+                breaker.on_failure(now);
             }
             Err(down) => {
                 refused += 1;
@@ -210,8 +210,8 @@
     }
     expect_that!(tried, le(3605));
     expect_that!(tried + refused, eq(36_000));
-    gate.on_answer();
-    expect_that!(gate.admit(now), ok(anything()));
+    breaker.on_response();
+    expect_that!(breaker.admit(now), ok(anything()));
 }
 
 /// Another version of the program, or a broken write, left a row that can't be read.
--- a/crates/claim/tests/fuzz/world.rs
+++ b/crates/claim/tests/fuzz/world.rs
@@ -359,7 +359,7 @@
         let permitted = call
             .claim
             .as_mut()
-            .is_some_and(|c| c.dispatch(self.now).is_ok());
+            .is_some_and(|c| c.begin_dispatch(self.now).is_ok());
         if !permitted {
             return self.give_up(i);
         }
--- a/crates/node/src/once/run.rs
+++ b/crates/node/src/once/run.rs
@@ -231,7 +231,7 @@
 
     /// Runs the call and tells its caller; gives what is left to write of the claim's state.
     async fn dispatch(&self, claim: &mut Claim, tx: oneshot::Sender<Reply>) -> Option<RowChange> {
-        if claim.dispatch(Instant::now()).is_err() {
+        if claim.begin_dispatch(Instant::now()).is_err() {
             let change = claim.release();
             let problem =
                 Problem::not_run(BUSY, "the claim took too long").retry_after(WRITE_AGAIN);
--- a/crates/node/src/once/store.rs
+++ b/crates/node/src/once/store.rs
@@ -7,8 +7,8 @@
 
 use crossbeam::channel::{Receiver, RecvTimeoutError, Sender, bounded};
 use eelgrassmill_claim::{
-    Batch, ClaimBatcher, ClaimRow, ConflictRow, RowChange, StoreDown, StoreGate, VersionedRow,
-    WriteOutcome,
+    Batch, ClaimBatcher, ClaimRow, ConflictRow, RowChange, StoreCircuitBreaker, StoreUnavailable,
+    VersionedRow, WriteOutcome,
 };
 use eelgrassmill_stores::{Condition, Row, Table, TableError, Txn, TxnOutcome, Write};
 use tokio::sync::oneshot;
@@ -32,18 +32,18 @@
 #[derive(Clone)]
 pub(crate) struct ClaimStore {
     tx: Sender<Command>,
-    gate: Arc<Mutex<StoreGate>>,
+    breaker: Arc<Mutex<StoreCircuitBreaker>>,
 }
 
 impl ClaimStore {
     pub(crate) fn start(core: &Arc<Core>) -> (ClaimStore, Vec<JoinHandle<()>>) {
         let (tx, rx) = bounded(WAITING);
-        let gate = StoreGate::new(core.ident.seed("store-gate"));
-        let gate = Arc::new(Mutex::new(gate));
+        let breaker = StoreCircuitBreaker::new(core.ident.seed("store-gate"));
+        let breaker = Arc::new(Mutex::new(breaker));
         let writers = (0..WRITERS).map(|_| {
             let writer = Writer {
                 core: core.clone(),
-                gate: gate.clone(),
+                breaker: breaker.clone(),
                 rx: rx.clone(),
                 batcher: ClaimBatcher::default(),
                 answers: BTreeMap::new(),
@@ -51,15 +51,15 @@
             std::thread::spawn(move || writer.run())
         });
         let writers = writers.collect();
-        (ClaimStore { tx, gate }, writers)
+        (ClaimStore { tx, breaker }, writers)
     }
 
     /// Whether claims can be made now.
     ///
     /// # Errors
     /// While the table is down, so that callers are refused at once.
-    pub(crate) fn admit(&self) -> Result<(), StoreDown> {
-        lock(&self.gate).admit(Instant::now())
+    pub(crate) fn admit(&self) -> Result<(), StoreUnavailable> {
+        lock(&self.breaker).admit(Instant::now())
     }
 
     /// Writes one change from a thread that may block.
@@ -88,7 +88,7 @@
 
 struct Writer {
     core: Arc<Core>,
-    gate: Arc<Mutex<StoreGate>>,
+    breaker: Arc<Mutex<StoreCircuitBreaker>>,
     rx: Receiver<Command>,
     batcher: ClaimBatcher,
     answers: BTreeMap<smol_str::SmolStr, oneshot::Sender<WriteOutcome>>,
@@ -133,11 +133,11 @@
         while let Some(batch) = left.pop() {
             match self.core.platform.table.commit(&self.txn(&batch)) {
                 Ok(TxnOutcome::Committed) => {
-                    lock(&self.gate).on_answer();
+                    lock(&self.breaker).on_response();
                     self.answer_all(&batch, &WriteOutcome::Committed);
                 }
                 Ok(TxnOutcome::Conflict(rows)) => {
-                    lock(&self.gate).on_answer();
+                    lock(&self.breaker).on_response();
                     let split = batch.split(rows.iter().filter_map(conflict_row));
                     for (change, current) in split.conflicted {
                         self.answer(&change, WriteOutcome::Conflict(current));
@@ -146,7 +146,7 @@
                 }
                 Err(err) => {
                     tracing::debug!(%err, "claims not written");
-                    lock(&self.gate).on_failure(Instant::now());
+                    lock(&self.breaker).on_failure(Instant::now());
                     let outcome = match err {
                         TableError::Unavailable(_) => WriteOutcome::Unavailable,
                         TableError::Unknown(_) | TableError::Protocol(_) => WriteOutcome::Unknown,
