--- a/crates/claim/src/era.rs
+++ b/crates/claim/src/era.rs
@@ -11,7 +11,7 @@
 
 use crate::decide::OwnerState;
 use crate::key::ClaimKey;
-use crate::row::{ClaimState, RowChange, Seen};
+use crate::row::{ClaimState, RowChange, VersionedRow};
 
 /// Counts periods of at least [`ERA_LENGTH`].
 pub type Era = u64;
@@ -25,9 +25,9 @@
 const STARTED_ERAS: Era = 2;
 
 /// The first era in which a claim written in `era` may be deleted.
-pub(crate) fn expiry(era: Era, keep: Duration) -> Era {
-    let whole = keep.as_secs().div_ceil(ERA_LENGTH.as_secs());
-    era + whole + STARTED_ERAS
+pub(crate) fn expiry(era: Era, retention: Duration) -> Era {
+    let whole_eras = retention.as_secs().div_ceil(ERA_LENGTH.as_secs());
+    era + whole_eras + STARTED_ERAS
 }
 
 value! { copy
@@ -79,12 +79,17 @@
     ///
     /// A claim of a live owner stays: its request may still be running, and
     /// a repeat would run it a second time.
-    pub fn sweep(&self, key: &ClaimKey, seen: &Seen, owner: OwnerState) -> Option<RowChange> {
-        let running = seen.row.state == ClaimState::Claimed && owner == OwnerState::Alive;
-        let over = seen.row.expires <= self.era && !running;
+    pub fn sweep(
+        &self,
+        key: &ClaimKey,
+        current: &VersionedRow,
+        owner: OwnerState,
+    ) -> Option<RowChange> {
+        let running = current.row.state == ClaimState::Claimed && owner == OwnerState::Alive;
+        let over = current.row.expires <= self.era && !running;
         over.then(|| RowChange {
             key: key.clone(),
-            version: seen.version,
+            version: current.version,
             row: None,
         })
     }
--- a/crates/claim/tests/claims.rs
+++ b/crates/claim/tests/claims.rs
@@ -5,7 +5,7 @@
 use eelgrassmill_claim::*;
 use googletest::prelude::*;
 
-const KEEP: Duration = Duration::from_secs(3600);
+const RETENTION: Duration = Duration::from_secs(3600);
 
 fn request(key: &str, body: &[u8], attempt: &str) -> ClaimRequest {
     ClaimRequest {
@@ -17,7 +17,7 @@
         },
         attempt: attempt.into(),
         era: 7,
-        keep: KEEP,
+        retention: RETENTION,
     }
 }
 
@@ -28,8 +28,8 @@
     }
 }
 
-fn seen(change: &RowChange, version: u64) -> Seen {
-    Seen {
+fn versioned(change: &RowChange, version: u64) -> VersionedRow {
+    VersionedRow {
         row: change.row.clone().expect("a row"),
         version,
     }
@@ -38,7 +38,7 @@
 fn conflict(change: &RowChange, version: u64) -> ConflictRow {
     ConflictRow {
         key: change.key.clone(),
-        seen: seen(change, version),
+        current: versioned(change, version),
     }
 }
 
@@ -52,11 +52,11 @@
         OwnerState::Alive,
     ));
     let decision = decide(
-        Some(&seen(&first, 1)),
+        Some(&versioned(&first, 1)),
         &request("k", b"notice B", "2"),
         OwnerState::Alive,
     );
-    expect_that!(decision, eq(&Decision::MismatchedBody));
+    expect_that!(decision, eq(&Decision::FingerprintMismatch));
     expect_that!(
         claim_key("a", "bc", "d"),
         not(eq(&claim_key("ab", "c", "d")))
@@ -70,11 +70,14 @@
     let now = Instant::now();
     let change = claim_of(decide(None, &request("k", b"", "1"), OwnerState::Alive));
     let mut claim = Claim::new(change.clone(), now).expect("a claim");
-    let outcome = WriteOutcome::Conflict(Some(seen(&change, 4)));
-    expect_that!(claim.on_claimed(outcome.clone()), eq(&Claimed::Held));
-    expect_that!(claim.dispatch(now), ok(anything()));
-    expect_that!(claim.on_claimed(outcome), eq(&Claimed::Ignored));
-    expect_that!(claim.dispatch(now), err(anything()));
+    let outcome = WriteOutcome::Conflict(Some(versioned(&change, 4)));
+    expect_that!(
+        claim.on_claim_written(outcome.clone()),
+        eq(&ClaimResult::Held)
+    );
+    expect_that!(claim.begin_dispatch(now), ok(anything()));
+    expect_that!(claim.on_claim_written(outcome), eq(&ClaimResult::Ignored));
+    expect_that!(claim.begin_dispatch(now), err(anything()));
 }
 
 /// An entry is paused between its claim and the dispatch for longer than claims are
@@ -84,10 +87,10 @@
     let now = Instant::now();
     let change = claim_of(decide(None, &request("k", b"", "1"), OwnerState::Alive));
     let mut claim = Claim::new(change, now).expect("a claim");
-    claim.on_claimed(WriteOutcome::Committed);
-    expect_that!(MAX_HOLD, lt(ERA_LENGTH));
+    claim.on_claim_written(WriteOutcome::Committed);
+    expect_that!(MAX_CLAIM_AGE, lt(ERA_LENGTH));
     expect_that!(
-        claim.dispatch(now + MAX_HOLD + Duration::from_secs(1)),
+        claim.begin_dispatch(now + MAX_CLAIM_AGE + Duration::from_secs(1)),
         err(anything())
     );
     expect_that!(claim.release(), some(anything()));
@@ -97,10 +100,10 @@
 /// answer is lost, never be given the half.
 #[googletest::test]
 fn a_truncated_answer_is_not_replayed() {
-    let kept = KeptAnswer::new("claim/x", 200, "text/plain", b"the whole answer");
-    expect_that!(kept.check(b"the whole answer"), ok(anything()));
-    expect_that!(kept.check(b"the whole"), err(anything()));
-    expect_that!(kept.check(b"the whole answeR"), err(anything()));
+    let kept = StoredResponse::new("claim/x", 200, "text/plain", b"the whole answer");
+    expect_that!(kept.verify(b"the whole answer"), ok(anything()));
+    expect_that!(kept.verify(b"the whole"), err(anything()));
+    expect_that!(kept.verify(b"the whole answeR"), err(anything()));
 }
 
 /// Two entries claim one key in the same instant, each in a batch with other callers'
@@ -127,10 +130,14 @@
         .expect("no duplicate")
         .expect("full");
     let split = batch.split([conflict(&claims[1], 5)]);
-    let lost: Vec<_> = split.lost.iter().map(|(change, _)| &change.key).collect();
+    let lost: Vec<_> = split
+        .conflicted
+        .iter()
+        .map(|(change, _)| &change.key)
+        .collect();
     expect_that!(lost, elements_are![eq(&&claims[1].key)]);
-    expect_that!(split.again.len(), eq(1));
-    expect_that!(split.again[0].changes.len(), eq(2));
+    expect_that!(split.retry.len(), eq(1));
+    expect_that!(split.retry[0].changes.len(), eq(2));
 }
 
 /// A row of a batch was deleted meanwhile; the conflict doesn't name absent rows.
@@ -144,12 +151,12 @@
         changes: vec![change, other],
     }
     .split([]);
-    expect_that!(split.lost, is_empty());
-    expect_that!(split.again.len(), eq(2));
-    for batch in split.again {
+    expect_that!(split.conflicted, is_empty());
+    expect_that!(split.retry.len(), eq(2));
+    for batch in split.retry {
         let split = batch.split([]);
-        expect_that!(split.again, is_empty());
-        expect_that!(split.lost, elements_are![anything()]);
+        expect_that!(split.retry, is_empty());
+        expect_that!(split.conflicted, elements_are![anything()]);
     }
 }
 
@@ -168,13 +175,15 @@
     let change = clock.advance(start + ERA_LENGTH);
     expect_that!(change, some(eq(EraChange { version: 3, era: 8 })));
     let req = request("k", b"", "1");
-    let there = seen(&claim_of(decide(None, &req, OwnerState::Alive)), 1);
+    let there = versioned(&claim_of(decide(None, &req, OwnerState::Alive)), 1);
     let eras = (7..).take_while(|era| {
         clock.observe(*era, *era, start);
-        clock.sweep(&req.key, &there, OwnerState::Lapsed).is_none()
+        clock
+            .sweep(&req.key, &there, OwnerState::LeaseExpired)
+            .is_none()
     });
     let whole = eras.count() as u32 - 1;
-    expect_that!(ERA_LENGTH * whole, ge(KEEP));
+    expect_that!(ERA_LENGTH * whole, ge(RETENTION));
     clock.observe(1000, 1000, start);
     expect_that!(clock.sweep(&req.key, &there, OwnerState::Alive), none());
 }
@@ -184,14 +193,14 @@
 #[googletest::test]
 fn an_outage_refuses_at_once() {
     let mut now = Instant::now();
-    let mut gate = StoreGate::new(1);
+    let mut breaker = StoreCircuitBreaker::new(1);
     let (mut tried, mut refused) = (0, 0);
     for _ in 0..36_000 {
         now += Duration::from_millis(100);
-        match gate.admit(now) {
+        match breaker.admit(now) {
             Ok(()) => {
                 tried += 1;
-                gate.on_failure(now);
+                breaker.on_failure(now);
             }
             Err(down) => {
                 refused += 1;
@@ -201,8 +210,8 @@
     }
     expect_that!(tried, le(3605));
     expect_that!(tried + refused, eq(36_000));
-    gate.on_answer();
-    expect_that!(gate.admit(now), ok(anything()));
+    breaker.on_response();
+    expect_that!(breaker.admit(now), ok(anything()));
 }
 
 /// Another version of the program, or a broken write, left a row that can't be read.
