--- a/crates/fleet/src/schedule/head.rs
+++ b/crates/fleet/src/schedule/head.rs
@@ -87,8 +87,8 @@
         slowdown.min(MAX_SLOWDOWN)
     }
 
-    /// Whether it has room for one more request. `mean_latency` is the mean first-event latency of all
-    /// heads.
+    /// Whether it has room for one more request. `mean_latency` is the mean first-event latency of
+    /// all heads.
     pub(super) fn has_room(
         &self,
         speed: &EngineSpeed,
--- a/crates/fleet/src/schedule/queue.rs
+++ b/crates/fleet/src/schedule/queue.rs
@@ -97,11 +97,11 @@
         self.since.map_or(Duration::ZERO, busy)
     }
 
-    /// Lowers the priority of requests that can no longer be on time. `first_event_latency` is the expected
-    /// first-event latency.
+    /// Lowers the priority of requests that can no longer be on time. `first_event_latency` is the
+    /// expected first-event latency.
     ///
-    /// Without `first_event_latency`, each slot would go to a request that has waited until it is bound to be
-    /// late.
+    /// Without `first_event_latency`, each slot would go to a request that has waited until it is
+    /// bound to be late.
     pub(super) fn demote_late(&mut self, first_event_latency: Duration, now: Instant) {
         let late: Vec<Position> = self
             .waiting
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -1,4 +1,4 @@
-//! Forming replicas, mending them, and what must never happen to a host.
+//! Tests of forming and repairing replicas, and of the planner's safety rules.
 
 mod support;
 
@@ -28,7 +28,7 @@
     world
 }
 
-/// Runs until `count` replicas serve; gives how long that took.
+/// Runs until `count` replicas serve; returns how long that took.
 fn until_serving(world: &mut World, count: usize, most: Duration) -> Option<Duration> {
     let began = world.now;
     while world.now < began + most {
@@ -40,7 +40,7 @@
     None
 }
 
-/// Hosts that serve in no replica.
+/// Hosts that are members of no open replica.
 fn spares(world: &World) -> Vec<HostId> {
     let members = |d: &&str| [world.members(d, "large"), world.members(d, "small")].concat();
     let serving: Vec<HostId> = ["d0", "d1"].iter().flat_map(members).collect();
@@ -48,12 +48,12 @@
     hosts.filter(|h| !serving.contains(h)).cloned().collect()
 }
 
-/// Spares can't write their entries any more, and one takes a lost member's place. Gives
-/// the members of its replica.
-fn joined_unlisted(world: &mut World) -> Vec<HostId> {
+/// Replaces a lost member by a spare that can't write its entry; returns the members of the
+/// replica.
+fn join_unlisted_spare(world: &mut World) -> Vec<HostId> {
     let spares = spares(world);
     for spare in &spares {
-        world.cut_from_list(spare);
+        world.partition_from_list(spare);
     }
     let lost = world.members("d0", "large")[3].clone();
     world.kill(&lost);
@@ -71,7 +71,7 @@
         expect_that!(world.members(fabric, "large").len(), eq(6));
         expect_that!(world.members(fabric, "small").len(), eq(3));
     }
-    // Every spare was a member for one model and holds the other's weights.
+    // Every spare is primed for one model and has the other's weights.
     let spares = spares(&world);
     expect_that!(spares.len(), eq(4));
     for spare in spares {
@@ -85,15 +85,15 @@
     }
 }
 
-/// A member dies in the middle of streams. Its replica stands still, and callers wait
-/// until a spare has taken the place.
+/// Guards against slow repair when a member dies: the replica's streams stall until a spare has
+/// replaced it.
 #[gtest]
 fn a_lost_member_is_replaced_within_a_second_of_being_noticed() {
     let mut world = settled(1, 11);
     let lost = world.members("d0", "large")[3].clone();
     world.kill(&lost);
     let took = until_serving(&mut world, 2, seconds(10));
-    // It counts as serving until its end is noticed, so time passes first.
+    // The replica counts as serving until the loss is detected.
     expect_that!(took, some(eq(Duration::ZERO)).or(some(le(millis(1500)))));
     world.run(millis(1500));
     expect_that!(world.serving(), eq(2));
@@ -101,8 +101,8 @@
     expect_that!(world.violations, is_empty());
 }
 
-/// The head itself dies. It can't be told to leave, and nothing says whether it is dead
-/// or only out of reach, but its members can leave by themselves.
+/// A dead head can't be ordered to leave and can't be told from an unreachable one, but its members
+/// can leave without it.
 #[gtest]
 fn a_lost_head_is_replaced_without_waiting_for_its_entry_to_lapse() {
     let mut world = settled(1, 11);
@@ -113,10 +113,10 @@
     expect_that!(world.violations, is_empty());
 }
 
-/// A second member of the same model dies in one domain. The spare that was primed for
-/// it is used up, and loading the weights anew would take 16 s.
+/// After the first loss the spare primed for the model is used up, and loading the weights again
+/// would take 16 s.
 #[gtest]
-fn the_second_loss_of_a_model_is_mended_from_staged_weights() {
+fn the_second_loss_of_a_model_is_repaired_from_staged_weights() {
     let mut world = settled(1, 11);
     for _ in 0..2 {
         let lost = world.members("d0", "large")[2].clone();
@@ -128,31 +128,31 @@
     expect_that!(world.violations, is_empty());
 }
 
-/// A head leaves without a word: its entry is removed, but it serves on for seconds. Were
-/// its members taken as free, answers in progress would be torn apart.
+/// A head's entry is removed while it keeps serving for seconds. If its members were treated as
+/// free, answers in progress would break.
 #[gtest]
-fn members_of_a_head_whose_entry_vanished_leave_before_they_join_elsewhere() {
+fn members_of_a_head_without_an_entry_leave_before_they_join_elsewhere() {
     let mut world = settled(1, 11);
     let head = world.members("d0", "large")[0].clone();
-    world.vanish(&head);
+    world.remove_entry(&head);
     world.run(seconds(8));
     expect_that!(world.violations, is_empty());
     expect_that!(world.members("d0", "large"), not(contains(eq(&head))));
     expect_that!(world.serving(), eq(2));
 }
 
-/// A head is cut off and later comes back, still at the head of the replica that was
-/// given up. It must leave that before it joins another one.
+/// A partitioned head comes back and still holds the dissolved replica. It must leave it before it
+/// joins another one.
 #[gtest]
-fn a_head_that_was_cut_off_leaves_what_it_held_when_it_returns() {
+fn a_partitioned_head_leaves_its_replica_when_it_returns() {
     let mut world = settled(1, 11);
     let head = world.members("d0", "large")[0].clone();
-    world.cut(&head);
+    world.partition(&head);
     world.run(seconds(6));
     expect_that!(world.serving(), ge(2));
     world.heal(&head);
     world.run(seconds(3));
-    // A further loss makes the planner look for hosts.
+    // Another loss makes the planner look for free hosts.
     let lost = world.members("d0", "small")[1].clone();
     world.kill(&lost);
     world.run(seconds(20));
@@ -160,18 +160,18 @@
     expect_that!(world.serving(), eq(2));
 }
 
-/// A head and a member are cut off together, and the list shows the member all the time,
-/// so that the replica isn't done with when the head comes back. The head still serves.
+/// A head and a member are partitioned together while the member stays listed, so the replica is
+/// still dissolving when the head comes back. The head still serves.
 #[gtest]
-fn a_head_that_returns_while_its_replica_is_being_given_up_leaves_first() {
+fn a_head_that_returns_while_its_replica_dissolves_leaves_first() {
     let mut world = settled(1, 11);
     let members = world.members("d0", "large");
-    world.cut_from_planners(&members[3]);
-    world.cut(&members[0]);
+    world.partition_from_planners(&members[3]);
+    world.partition(&members[0]);
     world.run(seconds(6));
     world.heal(&members[0]);
     world.run(millis(400));
-    // No other host is free to take this one's place.
+    // No other host is free to replace this one.
     let lost = world.members("d0", "large")[1].clone();
     world.kill(&lost);
     world.run(seconds(10));
@@ -179,8 +179,7 @@
     expect_that!(world.serving(), eq(2));
 }
 
-/// All hosts of the pool are members when the planner is killed. The next one finds
-/// them serving and must not touch what is whole.
+/// A new planner must not disturb complete replicas that serve.
 #[gtest]
 fn a_new_planner_takes_over_what_serves() {
     let mut world = settled(2, 11);
@@ -195,10 +194,10 @@
     expect_that!(world.violations, is_empty());
 }
 
-/// A planner is paused and goes on with its old picture while another one plans. Hosts
-/// refuse its orders by their epochs, and no replica loses a member to it.
+/// A paused planner resumes with stale state while another one plans. Hosts reject its orders by
+/// epoch, and no replica loses a member to it.
 #[gtest]
-fn an_old_planner_that_acts_on_does_no_harm() {
+fn an_old_planner_that_keeps_running_does_no_harm() {
     let mut world = settled(2, 11);
     world.new_planner(Some(seconds(10)));
     for fabric in ["d0", "d1"] {
@@ -211,12 +210,12 @@
     expect_that!(world.serving(), eq(4));
 }
 
-/// Half of all orders get no answer and are carried out seconds later. The hosts are well:
-/// counted as dead, they would be swapped for spares until none is left.
+/// Half of all orders get no answer and are executed seconds later. Treated as dead, the healthy
+/// hosts would be replaced until no spare is left.
 #[gtest]
-fn hosts_that_are_late_with_orders_are_not_taken_for_dead() {
+fn hosts_that_delay_orders_are_not_treated_as_dead() {
     let mut world = settled(2, 11);
-    world.late_share = 0.5;
+    world.delayed_ratio = 0.5;
     for fabric in ["d0", "d1"] {
         let lost = world.members(fabric, "large")[2].clone();
         world.kill(&lost);
@@ -226,11 +225,10 @@
     expect_that!(world.violations, is_empty());
 }
 
-/// A spare has started again, and a host with another name answers at its address while
-/// its old entry still stands. Chosen again and again, it would end each new formation
-/// within a step, hundreds of times until its entry is gone.
+/// A spare restarted under another name, and its old entry remains. Chosen repeatedly, it would
+/// break each new formation within a planning pass, hundreds of times until its entry expires.
 #[gtest]
-fn a_host_whose_address_is_anothers_is_not_chosen_again() {
+fn a_host_whose_address_was_reused_is_not_chosen_again() {
     let mut world = settled(1, 11);
     for spare in spares(&world) {
         world.host(&spare).replaced = true;
@@ -243,11 +241,10 @@
     expect_that!(world.violations, is_empty());
 }
 
-/// The head's answer to the order to open comes after a member was found dead and the
-/// replica was given up. Taken as news that it serves, it would bring a replica back that
-/// has lost a member, and bind its hosts to it.
+/// The head's reply to the order to open arrives after the replica was dissolved for a dead member.
+/// Reopened, the replica would hold its hosts without being able to serve.
 #[gtest]
-fn an_answer_that_comes_after_a_loss_does_not_bring_the_replica_back() {
+fn a_late_reply_does_not_reopen_a_lost_replica() {
     let mut world = settled(1, 11);
     let formation = world.planner().formations().find(|f| f.model == "large");
     let formation = formation.expect("the model is served");
@@ -270,7 +267,7 @@
     let mut world = settled(1, 11);
     let before = world.members("d0", "large");
     for _ in 0..15 {
-        world.say_rejects(&before[0]);
+        world.report_rejecting(&before[0]);
         world.run(millis(100));
     }
     world.run(seconds(3));
@@ -280,20 +277,20 @@
     expect_that!(world.violations, is_empty());
 }
 
-/// Guards against replicas being given up for heads that are full for a moment, or that have no
-/// other member to take their place.
+/// Guards against dissolving replicas for heads that are briefly full, or that no other member can
+/// replace.
 #[gtest]
-fn a_head_stays_where_it_rejects_for_a_moment_or_all_others_do() {
+fn a_head_stays_if_it_rejects_briefly_or_all_members_reject() {
     let mut world = settled(1, 11);
     let before = world.members("d0", "large");
-    world.say_rejects(&before[0]);
+    world.report_rejecting(&before[0]);
     world.run(millis(500));
-    world.say_rejects(&before[0]);
+    world.report_rejecting(&before[0]);
     world.run(seconds(3));
     expect_that!(world.members("d0", "large"), eq(&before));
     for _ in 0..30 {
         for member in &before {
-            world.say_rejects(member);
+            world.report_rejecting(member);
         }
         world.run(millis(100));
     }
@@ -301,8 +298,8 @@
     expect_that!(world.members("d0", "large"), eq(&before));
 }
 
-/// A member says that it is leaving. The head first finishes what runs, then the replica
-/// is formed anew without that member.
+/// When a member is leaving, the head finishes running requests, and the replica is formed anew
+/// without that member.
 #[gtest]
 fn a_leaving_member_is_replaced() {
     let mut world = settled(1, 11);
@@ -310,18 +307,18 @@
     let before = world.orders;
     world.drain(&leaving);
     world.run(seconds(5));
-    // Close, six leave, six join, open, and a few for the spare that takes over: answers
-    // must not bring on the same order again.
+    // Close, six leave, six join, open, and a few for the replacing spare: replies must not cause
+    // the same order to be resent.
     expect_that!(world.orders - before, le(25));
     expect_that!(world.members("d0", "large"), not(contains(eq(&leaving))));
     expect_that!(world.serving(), eq(2));
     expect_that!(world.violations, is_empty());
 }
 
-/// Loads from the weight store are bounded in any five seconds, also when a whole domain
-/// comes up empty at once and when planners change.
+/// Loads from the weight store stay below the limit in any five seconds, also when a whole domain
+/// starts empty and when planners change.
 #[gtest]
-fn loads_stay_under_their_rate() {
+fn loads_stay_below_the_rate_limit() {
     let mut world = World::new(6, 11, 1);
     world.run(seconds(4));
     world.new_planner(None);
@@ -333,46 +330,43 @@
             .filter(|at| **at >= *from && **at < *from + seconds(5))
             .count()
     });
-    // 5.5 a second over 5 s, a tenth more, and three.
+    // 5.5 per second over 5 s, plus a tenth, plus three.
     expect_that!(most.max().unwrap_or(0), le(33));
     expect_that!(world.serving(), eq(12));
 }
 
-/// A spare can't write its entry any more but still obeys, and takes a lost member's
-/// place. Then its replica's head is out of the planner's reach and the planner is
-/// replaced. The next one sees the spare as it was before, free, while the head serves.
+/// A spare with a stale entry replaces a lost member. Then the head becomes unreachable and the
+/// planner is replaced. The new planner sees the spare listed as free while the head serves.
 #[gtest]
-fn a_host_whose_entry_is_out_of_date_is_asked_before_it_is_taken_as_free() {
+fn a_host_with_a_stale_entry_is_queried_before_it_is_treated_as_free() {
     let mut world = settled(1, 11);
-    let members = joined_unlisted(&mut world);
-    world.cut_from_planners(&members[0]);
+    let members = join_unlisted_spare(&mut world);
+    world.partition_from_planners(&members[0]);
     world.new_planner(None);
     world.run(seconds(8));
     expect_that!(world.violations, is_empty());
 }
 
-/// A member joined after it could no longer write its entry, so the list shows it free.
-/// The planner knows better from the member itself, until its node reads the list anew.
-/// An entry that only repeats itself must not end a replica that serves.
+/// The list shows a member as free that joined after it could no longer write its entry. The stale
+/// entry, repeated when the full list is read, must not override the member's own report.
 #[gtest]
-fn an_entry_from_before_a_join_ends_no_replica() {
+fn a_stale_entry_does_not_dissolve_a_replica() {
     let mut world = settled(1, 11);
-    let members = joined_unlisted(&mut world);
+    let members = join_unlisted_spare(&mut world);
     let formation = world.planner().formations().find(|f| f.members == members);
     let replica = formation.expect("the planner formed it").id.clone();
-    world.read_list_anew();
-    // Their entries lapse after 3 s, which is another matter.
+    world.reload_list();
+    // Stops before the entries expire after 3 s.
     world.run(millis(1600));
     let serving: Vec<_> = world.planner().formations().map(|f| &f.id).collect();
     expect_that!(serving, contains(eq(&&replica)));
     expect_that!(world.violations, is_empty());
 }
 
-/// A member leaves a replica whose head is out of reach and serves on. An order to join
-/// it that got no answer is carried out after that, while the list doesn't show it. The
-/// next time that a host is needed, this one seems to be free.
+/// A member leaves a replica whose unreachable head keeps serving, then executes an unanswered
+/// order to join it, which the list doesn't show. It must not be treated as free.
 #[gtest]
-fn a_host_that_left_an_order_unanswered_is_not_torn_away() {
+fn a_host_that_did_not_answer_an_order_is_not_reassigned() {
     let mut world = settled(1, 11);
     let members = world.members("d0", "large");
     let formation = world.planner().formations().find(|f| f.members == members);
@@ -383,50 +377,50 @@
         model: formation.model.clone(),
         members: members.clone(),
     };
-    world.cut_from_planners(&members[0]);
+    world.partition_from_planners(&members[0]);
     let now = world.began + world.now;
-    let left_over = members[5].clone();
+    let rejoining = members[5].clone();
     let planner = &mut world.actors[0].planner;
-    planner.on_reply(&left_over, &join, None, now);
-    world.say_silent(&members[0]);
-    // For a moment it is out of reach too, so that others are taken.
-    world.cut_from_planners(&left_over);
-    world.say_silent(&left_over);
+    planner.on_reply(&rejoining, &join, None, now);
+    world.report_silent(&members[0]);
+    // It is briefly unreachable too, so that other hosts are chosen.
+    world.partition_from_planners(&rejoining);
+    world.report_silent(&rejoining);
     world.run(millis(100));
     let next = world
         .planner()
         .formations()
         .find(|f| f.model == "large" && f.purpose == Purpose::Serve && f.members[0] != members[0]);
     let next = next.expect("others form one").members.clone();
-    assert_that!(next, not(contains(eq(&left_over))));
-    world.host(&left_over).reachable = true;
+    assert_that!(next, not(contains(eq(&rejoining))));
+    world.host(&rejoining).reachable = true;
     world.run(millis(1500));
-    assert_that!(world.hosts[&left_over].part, none());
-    world.cut_from_list(&left_over);
-    world.obey(&left_over, &join);
+    assert_that!(world.hosts[&rejoining].part, none());
+    world.partition_from_list(&rejoining);
+    world.handle_order(&rejoining, &join);
     let lost = next.iter().find(|m| members.contains(m)).cloned();
     world.kill(&lost.expect("some were members before"));
     world.run(millis(2500));
     expect_that!(world.violations, is_empty());
-    // Once the old head is in reach and has left, nothing is held back.
+    // Once the old head is reachable and has left, all hosts are free again.
     world.heal(&members[0]);
-    world.heal(&left_over);
+    world.heal(&rejoining);
     world.run(seconds(4));
     expect_that!(world.serving(), ge(2));
     expect_that!(world.violations, is_empty());
 }
 
-/// A spare crashed and started again under another name at its address; its old entry still
-/// stands, and the new one is a member of a replica already. The planner asks the old one
-/// and hears the new one. The replica must not gain a member by that.
+/// A spare restarted under another name at the same address and is already a member of a replica,
+/// while its old entry remains. A query for the old host is answered by the new one, and must not
+/// add a member to the replica.
 #[gtest]
-fn what_another_host_says_at_its_address_is_not_a_hosts_word() {
+fn a_report_from_another_host_at_the_address_is_ignored() {
     let mut world = settled(1, 11);
     let members = world.members("d0", "large");
     let spare = spares(&world)[0].clone();
     world.host(&spare).replaced = true;
     world.host(&spare).answered_by = Some(members[4].clone());
-    world.cut_from_list(&spare);
+    world.partition_from_list(&spare);
     world.new_planner(None);
     world.run(millis(2500));
     let formations: Vec<_> = world.planner().formations().collect();
@@ -440,19 +434,19 @@
     expect_that!(sizes, each(eq(&6)));
 }
 
-/// An order to join doesn't reach its host, and sent again it does. One such order is no
-/// reason to give the new replica up: the next one would need a spare that is slower.
+/// An order to join reaches its host only when resent. The new replica must not be dissolved for
+/// that: the next one would need a slower spare.
 #[gtest]
-fn one_order_that_reaches_nobody_ends_no_replica() {
+fn one_undelivered_order_does_not_dissolve_a_replica() {
     let mut world = settled(1, 11);
     let before = world.planner().formations().map(|f| f.epoch).max();
     let spares = spares(&world);
     for spare in &spares {
-        world.cut_from_planners(spare);
+        world.partition_from_planners(spare);
     }
     let lost = world.members("d0", "large")[3].clone();
     world.kill(&lost);
-    // Its loss is noticed after 500 ms, and the order to join sent at once.
+    // The loss is detected after 500 ms, and the order to join is sent immediately.
     world.run(millis(600));
     for spare in &spares {
         world.host(spare).reachable = true;
@@ -464,17 +458,16 @@
     expect_that!(world.violations, is_empty());
 }
 
-/// Hosts that hold the large model's weights wait for the one that still loads them. Meanwhile
-/// the domain's small replica is given up for a moment, and its members have yet to leave. Told to
-/// load the small model in that moment, the waiting hosts lose the weights that they hold, and
-/// the large model is away for another 16 s.
+/// Hosts with the large model's weights wait for one that still loads them, while the domain's
+/// small replica is dissolved and its members have yet to leave. If the waiting hosts loaded the
+/// small model then, they would lose the large model's weights for another 16 s.
 #[gtest]
 fn hosts_that_wait_load_nothing_while_members_of_a_lost_replica_leave() {
     let mut world = settled(2, 11);
     for spare in spares(&world) {
         world.kill(&spare);
     }
-    // One large replica and one small one are left, so that the small model lacks more.
+    // One large and one small replica are left, so the small model has more unmet demand.
     let lost = world.members("d0", "large")[3].clone();
     let also_lost = world.members("d1", "small")[1].clone();
     world.kill(&lost);
@@ -484,7 +477,7 @@
     world.run(seconds(4));
     expect_that!(world.serving(), eq(2));
     let small = world.members("d0", "small");
-    world.give_up(&small[0]);
+    world.report_replica_lost(&small[0]);
     world.run(seconds(2));
     expect_that!(world.members("d0", "small"), eq(&small));
     world.run(seconds(16));
--- a/crates/fleet/tests/planner_fuzz.rs
+++ b/crates/fleet/tests/planner_fuzz.rs
@@ -1,5 +1,5 @@
-//! Random faults over the planner, against an oracle that knows two rules: no replica
-//! begins to serve without all its members, and no host is taken from one that may serve.
+//! Runs the planner under random faults and checks two safety rules: no replica opens without all
+//! its members, and no host is reassigned from a replica that may serve.
 //!
 //! `FLEET_FUZZ_SEEDS=2000 cargo test -p eelgrassmill-fleet --test planner_fuzz` runs longer.
 
@@ -12,27 +12,27 @@
 
 use crate::support::World;
 
-/// Seeds of one run in CI: each takes some 400 ms.
+/// Number of seeds in CI; each takes about 400 ms.
 const SEEDS: u64 = 40;
-/// Faults of one run.
+/// Faults per seed.
 const FAULTS: usize = 25;
 
-/// Kinds of faults that [`fault`] knows.
+/// Number of fault kinds in [`fault`].
 const KINDS: u64 = 14;
-/// Kinds that it knew at first, which a seed that is kept was found with.
+/// Number of fault kinds when the regression seed 47 was found.
 const FIRST_KINDS: u64 = 9;
 
 fn fault(world: &mut World, kinds: u64) {
     let host = world.pick(true);
     match world.roll(kinds) {
         0 | 1 => world.kill(&host),
-        2 => world.cut(&host),
+        2 => world.partition(&host),
         3 => world.heal(&host),
-        4 => world.vanish(&host),
+        4 => world.remove_entry(&host),
         5 => world.drain(&host),
         6 => {
-            // A planner acts on for its lease at most; see tests/lease.rs. The seed that
-            // is kept is from before there was one.
+            // An old planner runs no longer than its lease; see tests/lease.rs. Seed 47 dates from
+            // before the lease existed.
             let most = if kinds > FIRST_KINDS {
                 LEASE_TERM
             } else {
@@ -45,11 +45,11 @@
             let fabric = format!("d{}", world.roll(2));
             world.add_host(&fabric);
         }
-        8 => world.late_share = if world.late_share > 0.0 { 0.0 } else { 0.3 },
-        9 | 10 => world.cut_from_list(&host),
-        11 => world.cut_from_planners(&host),
+        8 => world.delayed_ratio = if world.delayed_ratio > 0.0 { 0.0 } else { 0.3 },
+        9 | 10 => world.partition_from_list(&host),
+        11 => world.partition_from_planners(&host),
         13 => world.restart(&host),
-        _ => world.read_list_anew(),
+        _ => world.reload_list(),
     }
     let pause = Duration::from_millis(world.roll(4000));
     world.run(pause);
@@ -61,21 +61,21 @@
     for _ in 0..FAULTS {
         fault(&mut world, kinds);
     }
-    world.late_share = 0.0;
+    world.delayed_ratio = 0.0;
     let ids: Vec<_> = world.hosts.keys().cloned().collect();
     for id in ids {
         world.heal(&id);
     }
     world.run(Duration::from_secs(60));
     let mut found = world.violations.clone();
-    if world.serving() == 0 && enough_hosts(&world) {
+    if world.serving() == 0 && has_enough_hosts(&world) {
         found.push("nothing serves long after all faults are over".to_owned());
     }
     found
 }
 
-/// Whether some domain still has hosts for the small model.
-fn enough_hosts(world: &World) -> bool {
+/// Whether some domain still has enough hosts for the small model.
+fn has_enough_hosts(world: &World) -> bool {
     ["d0", "d1"].iter().any(|fabric| {
         let usable = world.hosts.values().filter(|h| {
             h.alive && h.fabric == *fabric && h.state == eelgrassmill_fleet::HostState::Ready
@@ -84,19 +84,19 @@
     })
 }
 
-/// A planner that was replaced goes on for a moment and forms a replica. The next one sees
-/// some of its members, has them leave, and must not take those that it sees later as
-/// free: their head is still told to serve.
+/// A replaced planner runs on briefly and forms a replica. Its successor sees some of the members
+/// and makes them leave. It must not treat members that are listed later as free, since their head
+/// may still get the order to open.
 #[gtest]
-fn members_that_show_late_leave_before_they_join_elsewhere() {
+fn members_listed_late_leave_before_they_join_elsewhere() {
     let found = play(47, FIRST_KINDS);
     expect_that!(found, is_empty());
 }
 
-/// A member leaves, and an earlier order to join, which got no answer, is carried out after
-/// that. The head is out of reach and serves on. Taken as free, the host is torn away.
+/// A member leaves and then executes an earlier, unanswered order to join, while the unreachable
+/// head keeps serving. Treated as free, the host would be reassigned from a serving replica.
 #[gtest]
-fn a_member_that_joins_again_after_it_left_is_not_taken_as_free() {
+fn a_member_that_rejoins_after_leaving_is_not_treated_as_free() {
     let found = play(1054, 13);
     expect_that!(found, is_empty());
 }
--- a/crates/fleet/tests/support/mod.rs
+++ b/crates/fleet/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A pool of hosts that obey orders as the platform's do, with an oracle over what they do.
+//! Simulated hosts that execute orders like the platform's, and a checker of the safety rules.
 
 #![allow(dead_code)]
 
@@ -12,21 +12,21 @@
 };
 use smol_str::{SmolStr, format_smolstr};
 
-/// One step of the world.
+/// Time step of the simulation.
 const TICK: Duration = Duration::from_millis(20);
-/// Entries show a change this much later.
+/// Delay until a change shows in a host's entry.
 const ENTRY_LAG: Duration = Duration::from_millis(250);
-/// An entry lapses this long after its host fell silent.
-const LAPSE: Duration = Duration::from_millis(3000);
-/// Callers' streams show a lost member after this.
-const STALL_SEEN: Duration = Duration::from_millis(500);
-/// A head that lost a member is broken after this.
-const BREAKS: Duration = Duration::from_secs(6);
+/// An entry expires this long after its host was last able to write it.
+const ENTRY_TTL: Duration = Duration::from_millis(3000);
+/// Time until a lost member is detected by stalled streams.
+const STALL_DETECTION_TIME: Duration = Duration::from_millis(500);
+/// Time until a head that lost a member reports itself broken.
+const BREAK_TIME: Duration = Duration::from_secs(6);
 const SERVICE: &str = "writer";
 const LARGE: &str = "large";
 const SMALL: &str = "small";
 
-/// A host as it really is.
+/// Actual state of a host.
 #[derive(Clone, Debug)]
 pub(crate) struct FakeHost {
     pub(crate) id: HostId,
@@ -35,25 +35,25 @@
     pub(crate) last_model: Option<ModelName>,
     pub(crate) part: Option<Part>,
     pub(crate) alive: bool,
-    /// Whether planners reach it.
+    /// Whether planners can reach it.
     pub(crate) reachable: bool,
-    /// Another host has its address.
+    /// Whether another host has its address.
     pub(crate) replaced: bool,
-    /// That host, where it answers questions that are meant for this one.
+    /// The other host, if it answers queries meant for this one.
     pub(crate) answered_by: Option<HostId>,
     pub(crate) state: HostState,
-    /// Its start.
-    born_ms: u64,
+    /// Its start time.
+    started_ms: u64,
     highest_epoch: Epoch,
     staging: Option<(ModelName, Duration)>,
     silent_since: Option<Duration>,
-    /// Since when it can't write its entry, which shows an older state until it lapses.
+    /// Since when it can't write its entry, which is stale until it expires.
     unheard_since: Option<Duration>,
     listed: bool,
     shown: Option<Host>,
 }
 
-/// A host's part in a replica.
+/// A host's membership in a replica.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Part {
     pub(crate) replica: GroupId,
@@ -65,40 +65,40 @@
     opens_at: Option<Duration>,
 }
 
-/// A planner with its term; an old one may still act.
+/// A planner; an old one may still be running.
 pub(crate) struct Actor {
     pub(crate) planner: Planner,
     pub(crate) until: Option<Duration>,
-    /// What its node knows: the list, and what hosts told it themselves.
+    /// Its node's view: the list and the hosts' own reports.
     fleet: Fleet,
 }
 
-/// All hosts, the planners, and what must never happen.
+/// All hosts and planners, and the violations found.
 pub(crate) struct World {
     pub(crate) began: Instant,
     pub(crate) now: Duration,
     pub(crate) hosts: BTreeMap<HostId, FakeHost>,
-    /// What the list alone shows, which is all that a new planner knows.
+    /// The host list alone, which is all that a new planner knows.
     listed: Fleet,
     pub(crate) actors: Vec<Actor>,
     service: Service,
     entries: Vec<(Duration, FleetChange)>,
     late: Vec<(Duration, HostId, Order)>,
-    /// Part of orders that get no answer and are carried out seconds later, of 1.
-    pub(crate) late_share: f64,
+    /// Fraction of orders that get no answer and are executed seconds later.
+    pub(crate) delayed_ratio: f64,
     ready_once: BTreeSet<(GroupId, Epoch, HostId)>,
     pub(crate) violations: Vec<String>,
-    /// What hosts were told and what became of them, for the trace of a violation.
+    /// Log of orders, replies and faults, for the trace of a violation.
     pub(crate) history: Vec<String>,
     pub(crate) orders: usize,
-    pub(crate) questions: usize,
+    pub(crate) queries: usize,
     pub(crate) loads: Vec<Duration>,
     rng: fastrand::Rng,
     term: u64,
     next_host: usize,
 }
 
-/// Replicas with steps of 6 ms that read 50 tokens in a millisecond.
+/// Speed of replicas with decode steps of 6 ms that prefill 50 tokens per millisecond.
 pub(crate) fn speed() -> EngineSpeed {
     EngineSpeed {
         decode_step: Duration::from_millis(6),
@@ -139,7 +139,7 @@
 }
 
 impl World {
-    /// `domains` fabric domains of `each` hosts, and a first planner.
+    /// Creates `domains` fabric domains of `each` hosts, and a first planner.
     pub(crate) fn new(domains: usize, each: usize, seed: u64) -> World {
         let began = Instant::now();
         let mut world = World {
@@ -151,12 +151,12 @@
             service: service(),
             entries: Vec::new(),
             late: Vec::new(),
-            late_share: 0.0,
+            delayed_ratio: 0.0,
             ready_once: BTreeSet::new(),
             violations: Vec::new(),
             history: Vec::new(),
             orders: 0,
-            questions: 0,
+            queries: 0,
             loads: Vec::new(),
             rng: fastrand::Rng::with_seed(seed),
             term: 0,
@@ -187,7 +187,7 @@
             replaced: false,
             answered_by: None,
             state: HostState::Ready,
-            born_ms: 1,
+            started_ms: 1,
             highest_epoch: 0,
             staging: None,
             silent_since: None,
@@ -199,7 +199,7 @@
         id
     }
 
-    /// A new planner takes over; the one before acts on for `overlap`, if any.
+    /// Starts a new planner; the previous one keeps running for `overlap`, if set.
     pub(crate) fn new_planner(&mut self, overlap: Option<Duration>) {
         self.term += 1;
         self.history
@@ -224,7 +224,7 @@
             .planner
     }
 
-    /// The host's power goes for good.
+    /// Kills the host permanently.
     pub(crate) fn kill(&mut self, id: &HostId) {
         self.history
             .push(format!("{} {id} kill", self.now.as_millis()));
@@ -236,20 +236,20 @@
         host.unheard_since.get_or_insert(now);
     }
 
-    /// The host starts again under its name and remembers nothing but its staged weights.
+    /// Restarts the host under the same name; it keeps only its staged weights.
     pub(crate) fn restart(&mut self, id: &HostId) {
         self.history
             .push(format!("{} {id} restart", self.now.as_millis()));
         let host = self.host(id);
-        host.born_ms += 1;
+        host.started_ms += 1;
         host.part = None;
         host.last_model = None;
         host.highest_epoch = 0;
         host.staging = None;
     }
 
-    /// The host serves on, but neither planners nor the list reach it.
-    pub(crate) fn cut(&mut self, id: &HostId) {
+    /// Partitions the host from planners and the list; it keeps serving.
+    pub(crate) fn partition(&mut self, id: &HostId) {
         self.history
             .push(format!("{} {id} cut", self.now.as_millis()));
         let now = self.now;
@@ -259,17 +259,17 @@
         host.unheard_since.get_or_insert(now);
     }
 
-    /// The host serves on and obeys, but its entry no longer changes, and then lapses.
-    pub(crate) fn cut_from_list(&mut self, id: &HostId) {
+    /// Partitions the host from the list only: it executes orders, but its entry becomes stale and
+    /// expires.
+    pub(crate) fn partition_from_list(&mut self, id: &HostId) {
         self.history
             .push(format!("{} {id} cut from list", self.now.as_millis()));
         let now = self.now;
         self.host(id).unheard_since.get_or_insert(now);
     }
 
-    /// The list is read anew, as after its history was dropped: the planners' nodes forget
-    /// what hosts told them themselves.
-    pub(crate) fn read_list_anew(&mut self) {
+    /// Applies the full list again, as after its history was dropped.
+    pub(crate) fn reload_list(&mut self) {
         self.history
             .push(format!("{} list read anew", self.now.as_millis()));
         let hosts: Vec<Host> = self.listed.hosts().cloned().collect();
@@ -279,23 +279,24 @@
         }
     }
 
-    /// Tells the planners that a host gives no answer.
-    pub(crate) fn say_silent(&mut self, id: &HostId) {
+    /// Reports to the planners that a host does not respond.
+    pub(crate) fn report_silent(&mut self, id: &HostId) {
         for actor in &mut self.actors {
             actor.planner.mark_silent(id, &actor.fleet);
         }
     }
 
-    /// Schedulers report that a head rejects requests.
-    pub(crate) fn say_rejects(&mut self, head: &HostId) {
+    /// Reports to the planners that a head rejects requests.
+    pub(crate) fn report_rejecting(&mut self, head: &HostId) {
         let at = self.instant();
         for actor in &mut self.actors {
             actor.planner.on_head_rejecting(head, at);
         }
     }
 
-    /// A node says that the replica of a head stands still, though all its members are well.
-    pub(crate) fn give_up(&mut self, head: &HostId) {
+    /// Reports to the newest planner that the replica of a head is broken, although its members are
+    /// healthy.
+    pub(crate) fn report_replica_lost(&mut self, head: &HostId) {
         let at = self.instant();
         let part = self.hosts.get(head).and_then(|h| h.part.clone());
         if let (Some(part), Some(actor)) = (part, self.actors.last_mut()) {
@@ -304,8 +305,8 @@
         }
     }
 
-    /// The same, but the list still shows it.
-    pub(crate) fn cut_from_planners(&mut self, id: &HostId) {
+    /// Partitions the host from planners only; the list still shows it.
+    pub(crate) fn partition_from_planners(&mut self, id: &HostId) {
         self.host(id).reachable = false;
     }
 
@@ -322,8 +323,8 @@
         }
     }
 
-    /// The host's entry goes without a word, while it serves on and obeys.
-    pub(crate) fn vanish(&mut self, id: &HostId) {
+    /// Removes the host's entry while the host keeps serving and executing orders.
+    pub(crate) fn remove_entry(&mut self, id: &HostId) {
         self.history
             .push(format!("{} {id} vanish", self.now.as_millis()));
         self.host(id).listed = false;
@@ -343,7 +344,7 @@
             .expect("the test names a host that exists")
     }
 
-    /// Members of the replica of `model` that serves in `fabric`, the head first.
+    /// Members of the open replica of `model` in `fabric`, the head first.
     pub(crate) fn members(&self, fabric: &str, model: &str) -> Vec<HostId> {
         let serves = |h: &&FakeHost| {
             h.alive
@@ -358,7 +359,7 @@
             .unwrap_or_default()
     }
 
-    /// Replicas that serve and have all their members.
+    /// Number of open replicas with all their members.
     pub(crate) fn serving(&self) -> usize {
         let heads = self.hosts.values().filter(|h| h.alive);
         let parts = heads.filter_map(|h| h.part.as_ref().map(|p| (h, p)));
@@ -386,17 +387,17 @@
         self.began + self.now
     }
 
-    /// One step of the newest planner.
+    /// Runs one planning pass of the newest planner.
     pub(crate) fn step_planner(&mut self) {
         self.step(self.actors.len() - 1);
     }
 
     fn tick(&mut self) {
-        self.carry_out_late();
-        self.let_time_pass();
+        self.execute_delayed();
+        self.advance_hosts();
         self.write_entries();
         self.deliver_entries();
-        self.notice_stalls();
+        self.detect_stalls();
         let now = self.now;
         self.actors
             .retain(|a| a.until.is_none_or(|until| now < until));
@@ -413,7 +414,7 @@
         for command in commands {
             match command {
                 Command::Order { host, order, .. } => self.order(i, host, order),
-                Command::Query { host } => self.ask(i, &host),
+                Command::Query { host } => self.query(i, &host),
             }
         }
     }
@@ -422,7 +423,7 @@
         self.orders += 1;
         let now = self.instant();
         let reached = self.hosts.get(&host).is_some_and(|h| h.reachable);
-        let late = reached && self.rng.f64() < self.late_share;
+        let late = reached && self.rng.f64() < self.delayed_ratio;
         if late {
             let due = self.now + Duration::from_millis(self.rng.u64(2_000..12_000));
             self.late.push((due, host.clone(), order.clone()));
@@ -436,7 +437,7 @@
             planner.on_reply(&host, &order, None, now);
             return;
         }
-        let reply = self.obey(&host, &order);
+        let reply = self.handle_order(&host, &order);
         let Actor { planner, fleet, .. } = &mut self.actors[i];
         if let (Order::Leave { replica, epoch }, OrderReply::Done) = (&order, reply) {
             fleet.clear_membership(&host, replica, *epoch);
@@ -444,8 +445,8 @@
         planner.on_reply(&host, &order, Some(reply), now);
     }
 
-    fn ask(&mut self, i: usize, id: &HostId) {
-        self.questions += 1;
+    fn query(&mut self, i: usize, id: &HostId) {
+        self.queries += 1;
         let host = self.hosts.get(id).filter(|h| h.reachable && !h.replaced);
         let entry = host.map(|h| self.entry(h));
         let answers = self.hosts.get(id).and_then(|h| h.answered_by.as_ref());
@@ -465,23 +466,23 @@
         }
     }
 
-    fn carry_out_late(&mut self) {
+    fn execute_delayed(&mut self) {
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) = self.late.drain(..).partition(|(at, ..)| *at <= now);
         self.late = later;
         for (_, host, order) in due {
             if self.hosts.get(&host).is_some_and(|h| h.alive) {
-                self.obey(&host, &order);
+                self.handle_order(&host, &order);
             }
         }
     }
 
-    pub(crate) fn obey(&mut self, id: &HostId, order: &Order) -> OrderReply {
+    pub(crate) fn handle_order(&mut self, id: &HostId, order: &Order) -> OrderReply {
         let replaced = self.hosts[id].replaced;
         let reply = if replaced {
             OrderReply::WrongHost
         } else {
-            self.carry_out(id, order)
+            self.execute_order(id, order)
         };
         let at = self.now.as_millis();
         self.history
@@ -489,7 +490,7 @@
         reply
     }
 
-    /// What the history says of a host or a replica.
+    /// The log lines about a host or a replica.
     pub(crate) fn trace(&self, of: &str) -> Vec<&String> {
         self.history
             .iter()
@@ -497,7 +498,7 @@
             .collect()
     }
 
-    fn carry_out(&mut self, id: &HostId, order: &Order) -> OrderReply {
+    fn execute_order(&mut self, id: &HostId, order: &Order) -> OrderReply {
         match order {
             Order::Join {
                 replica,
@@ -558,7 +559,7 @@
             if part.replica == *replica && part.epoch == epoch {
                 return OrderReply::Done;
             }
-            self.check_taken_away(&host, part);
+            self.check_not_reassigned(&host, part);
         }
         let now = self.now;
         let takes = if host.last_model.as_ref() == Some(model) {
@@ -587,8 +588,8 @@
         OrderReply::Begun
     }
 
-    /// A host must not be taken from a replica whose head may serve.
-    fn check_taken_away(&mut self, host: &FakeHost, part: &Part) {
+    /// Checks that a host isn't reassigned from a replica whose head may serve.
+    fn check_not_reassigned(&mut self, host: &FakeHost, part: &Part) {
         let head = &part.members[0];
         let Some(head) = self.hosts.get(head).filter(|h| h.alive) else {
             return;
@@ -636,7 +637,7 @@
         }
     }
 
-    fn let_time_pass(&mut self) {
+    fn advance_hosts(&mut self) {
         let now = self.now;
         let mut opened = Vec::new();
         for host in self.hosts.values_mut().filter(|h| h.alive) {
@@ -656,12 +657,12 @@
             }
         }
         for part in opened {
-            self.check_whole(&part);
+            self.check_complete(&part);
         }
     }
 
-    /// A replica must not begin to serve without a member that was ready in it.
-    fn check_whole(&mut self, part: &Part) {
+    /// Checks that a replica doesn't open before all its members were ready in it.
+    fn check_complete(&mut self, part: &Part) {
         let engine = self
             .service
             .engine
@@ -697,7 +698,7 @@
             .filter(|p| p.phase != MembershipPhase::Joining);
         Host {
             id: host.id.clone(),
-            started_ms: host.born_ms,
+            started_ms: host.started_ms,
             service: SERVICE.into(),
             address: format_smolstr!("10.0.0.1:{}", host.id),
             failure_domain: "z1".into(),
@@ -721,7 +722,7 @@
             }
             if host
                 .unheard_since
-                .is_some_and(|since| self.now >= since + LAPSE)
+                .is_some_and(|since| self.now >= since + ENTRY_TTL)
             {
                 self.host(&id).listed = false;
                 self.entries.push((self.now, FleetChange::Removed(id)));
@@ -748,8 +749,8 @@
         }
     }
 
-    /// Streams stand still once a member is lost; nodes then find out which.
-    fn notice_stalls(&mut self) {
+    /// Reports members that were lost to the planners once their replica's streams have stalled.
+    fn detect_stalls(&mut self) {
         let now = self.now;
         let mut silent = Vec::new();
         let mut broken = Vec::new();
@@ -763,10 +764,10 @@
                 let Some(since) = lost.silent_since else {
                     continue;
                 };
-                if now == round(since + STALL_SEEN) {
+                if now == round(since + STALL_DETECTION_TIME) {
                     silent.push(member.clone());
                 }
-                if host.alive && !lost.alive && now >= since + BREAKS {
+                if host.alive && !lost.alive && now >= since + BREAK_TIME {
                     broken.push(host.id.clone());
                 }
             }
