--- a/crates/fleet/benches/planner.rs
+++ b/crates/fleet/benches/planner.rs
@@ -1,4 +1,4 @@
-//! What one step of the planner costs at the size that the project aims at.
+//! Cost of one planning pass at the target fleet size.
 //!
 //! Run with `cargo bench -p eelgrassmill-fleet --bench planner`.
 
@@ -11,9 +11,9 @@
 
 use crate::support::World;
 
-/// Hosts of one fabric domain.
+/// Hosts per fabric domain.
 const DOMAIN_HOSTS: usize = 35;
-/// Until all replicas serve and spares are ready.
+/// Time until all replicas serve and spares are ready.
 const START_TIME: Duration = Duration::from_secs(60);
 
 fn main() {
@@ -26,14 +26,14 @@
     world
 }
 
-/// A step while nothing changes, by the number of fabric domains.
+/// A planning pass without changes, by number of fabric domains.
 #[divan::bench(args = [3, 25], sample_count = 20, sample_size = 1)]
 fn steady(bencher: Bencher, domains: usize) {
     let mut world = started(domains);
     bencher.bench_local(|| world.step_planner());
 }
 
-/// A step while a tenth of the hosts have just been lost and come back empty.
+/// A planning pass after a tenth of the hosts was lost and came back empty.
 #[divan::bench(args = [3, 25], sample_count = 20, sample_size = 1)]
 fn after_losses(bencher: Bencher, domains: usize) {
     let mut world = started(domains);
--- a/crates/fleet/benches/schedule.rs
+++ b/crates/fleet/benches/schedule.rs
@@ -1,4 +1,4 @@
-//! What one request costs at its scheduler.
+//! Cost of one request at its scheduler.
 //!
 //! Run with `cargo bench -p eelgrassmill-fleet --bench schedule`.
 
@@ -11,7 +11,7 @@
 use smol_str::format_smolstr;
 
 const SLOTS: usize = 13;
-/// Requests that run at each head.
+/// Running requests per head.
 const RUNNING: u64 = 9;
 
 fn main() {
@@ -31,7 +31,7 @@
     (0..count).map(head).collect()
 }
 
-fn ask(number: u64, now: Instant) -> PendingRequest {
+fn pending_request(number: u64, now: Instant) -> PendingRequest {
     PendingRequest {
         key: RequestKey {
             node: "node-1".into(),
@@ -58,30 +58,30 @@
     }
 }
 
-/// One more ask and decision while all heads are full, by the number of requests that wait.
+/// Enqueueing and deciding one more request while all heads are full, by queue length.
 #[divan::bench(args = [30, 300, 1000])]
-fn ask_while_full(bencher: Bencher, waiting: u64) {
+fn enqueue_while_full(bencher: Bencher, waiting: u64) {
     let heads = heads(16);
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now);
     let full = (heads.len() * (SLOTS + 1)) as u64;
     for n in 0..full {
-        scheduler.enqueue(ask(n, now), now);
+        scheduler.enqueue(pending_request(n, now), now);
         scheduler.assign(&heads, now);
-        scheduler.on_first_event(&ask(n, now).key, now);
+        scheduler.on_first_event(&pending_request(n, now).key, now);
     }
     for n in full..full + waiting {
-        scheduler.enqueue(ask(n, now), now);
+        scheduler.enqueue(pending_request(n, now), now);
     }
     scheduler.assign(&heads, now);
-    let again = ask(full + waiting / 2, now);
+    let again = pending_request(full + waiting / 2, now);
     bencher.bench_local(|| {
         scheduler.enqueue(again.clone(), now);
         scheduler.assign(&heads, now).len()
     });
 }
 
-/// One request from its ask to its end, by the number of heads.
+/// One request from enqueueing to its end, by number of heads.
 #[divan::bench(args = [5, 24, 120])]
 fn request(bencher: Bencher, count: usize) {
     let heads = heads(count);
@@ -90,9 +90,9 @@
     let mut number = 0;
     let mut run = |scheduler: &mut Scheduler| {
         number += 1;
-        let asked = ask(number, now);
-        let key = asked.key.clone();
-        scheduler.enqueue(asked, now);
+        let another = pending_request(number, now);
+        let key = another.key.clone();
+        scheduler.enqueue(another, now);
         scheduler.assign(&heads, now);
         scheduler.on_first_event(&key, now);
         key
--- a/crates/fleet/tests/cold.rs
+++ b/crates/fleet/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Evacuated failure domains and cold hosts.
+//! Tests of evacuated failure domains and cold hosts.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -11,9 +11,9 @@
 use googletest::prelude::*;
 use proptest::prelude::{Strategy, any, proptest};
 
-/// Requests a second that a cold host bears.
+/// Requests per second that a cold host can handle.
 const RATE: f64 = 15.0;
-/// The bound that callers' operators state: half as many more, and a few.
+/// Permitted number of requests in any second: the rate plus half, plus a few.
 const BOUND: usize = (RATE * 1.5) as usize + 5;
 const COLD_TIME: Duration = Duration::from_secs(3);
 const TICK: Duration = Duration::from_millis(5);
@@ -42,8 +42,8 @@
     }
 }
 
-/// Most of `times` that lie within any second.
-fn most_in_a_second(times: &[Instant]) -> usize {
+/// Maximum number of `times` within any second.
+fn max_per_second(times: &[Instant]) -> usize {
     let within = |from: &Instant| {
         let near = |at: &&Instant| **at >= *from && **at - *from < Duration::from_secs(1);
         times.iter().filter(near).count()
@@ -51,7 +51,7 @@
     times.iter().map(within).max().unwrap_or(0)
 }
 
-/// A cold head with far more slots than its rate, and requests that end at once.
+/// A cold head with far more slots than its rate, and requests that end immediately.
 struct Play {
     head: OpenHead,
     scheduler: Scheduler,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// One request each [`TICK`] from `now` on.
+    /// Sends one request per [`TICK`] from `now` on.
     fn run(&mut self, now: Instant, time: Duration) -> Instant {
         let mut at = now;
         while at < now + time {
@@ -126,15 +126,15 @@
     }
 }
 
-/// Guards against a cold host crashing under the requests that its free slots draw.
+/// Guards against overloading a cold host because of its free slots.
 #[gtest]
-fn a_scheduler_sends_a_cold_head_no_more_than_it_bears() {
+fn a_scheduler_keeps_the_rate_limit_of_a_cold_head() {
     let now = Instant::now();
     let mut play = Play::new(Some(cold()), now);
     play.run(now, COLD_TIME);
-    let most = most_in_a_second(&play.granted);
+    let most = max_per_second(&play.granted);
     expect_that!(most, le(RATE as usize));
-    // It warms up with work rather than none.
+    // It still gets requests.
     expect_that!(play.granted.len(), ge(2 * RATE as usize));
     play.head.cold = None;
     let warm = play.granted.len();
@@ -142,10 +142,10 @@
     expect_that!(play.granted.len() - warm, ge(150));
 }
 
-/// Guards against two schedulers, the second of which knows nothing of the grants of the first,
-/// sending a cold head what it bears each.
+/// Guards against two schedulers that each use the full rate of a cold head, the second of which
+/// doesn't know the grants of the first.
 #[gtest]
-fn the_successor_of_a_scheduler_keeps_the_bound_of_a_cold_head() {
+fn the_successor_of_a_scheduler_keeps_the_rate_limit_of_a_cold_head() {
     for handover in [50, 300, 700, 990] {
         let now = Instant::now();
         let mut play = Play::new(Some(cold()), now);
@@ -156,30 +156,30 @@
         play.scheduler = scheduler(at);
         play.run(at, Duration::from_millis(1500));
         expect_that!(
-            most_in_a_second(&play.granted),
+            max_per_second(&play.granted),
             le(BOUND),
             "after {handover} ms"
         );
     }
 }
 
-/// Requests that reach a cold host when `nodes` nodes choose by themselves, each with `per_s`
-/// requests a second.
+/// Times of requests to a cold host if `nodes` nodes choose independently, each with `per_s`
+/// requests per second.
 fn sent_by_shares(nodes: usize, per_s: f64) -> Vec<Instant> {
     let now = Instant::now();
     let mut rng = fastrand::Rng::with_seed(7);
     let host = HostId::from("h1");
     let mut sent = Vec::new();
     for _ in 0..nodes {
-        let mut shares = ColdRateLimiter::default();
+        let mut limiter = ColdRateLimiter::default();
         let mut at = now;
         loop {
             at += Duration::from_secs_f64(-rng.f64().max(1e-9).ln() / per_s);
             if at >= now + COLD_TIME {
                 break;
             }
-            if shares.may_send(&host, &cold(), nodes, rng.f64(), at) {
-                shares.on_sent(&host);
+            if limiter.may_send(&host, &cold(), nodes, rng.f64(), at) {
+                limiter.on_sent(&host);
                 sent.push(at);
             }
         }
@@ -187,26 +187,25 @@
     sent
 }
 
-/// Guards against nodes that know of no common scheduler sending a cold host more than it bears, by
-/// their number.
+/// Guards against many nodes without a common scheduler overloading a cold host.
 #[gtest]
-fn shares_of_many_nodes_keep_the_bound_of_a_cold_host() {
+fn shares_of_many_nodes_keep_the_rate_limit_of_a_cold_host() {
     for nodes in [1, 30, 1000, 2000] {
         let sent = sent_by_shares(nodes, 20.0);
-        expect_that!(most_in_a_second(&sent), le(BOUND), "{nodes} nodes");
+        expect_that!(max_per_second(&sent), le(BOUND), "{nodes} nodes");
         expect_that!(sent.len(), ge(RATE as usize / 2), "{nodes} nodes");
     }
 }
 
 #[gtest]
-fn a_host_is_cold_for_as_long_as_its_entry_first_said() {
+fn a_host_is_cold_for_as_long_as_its_entry_first_stated() {
     let now = Instant::now();
     let mut fleet = Fleet::default();
     let entry = host("a", "z1", 2000);
     fleet.apply(FleetChange::Snapshot(vec![entry.clone()]), now);
     let until = now + Duration::from_secs(2);
     expect_that!(fleet.cold_until(&entry, &cold()), some(eq(until)));
-    // Read once more, the same entry says nothing new.
+    // Reading the same entry again changes nothing.
     let later = now + Duration::from_secs(1);
     fleet.apply(FleetChange::Snapshot(vec![entry.clone()]), later);
     expect_that!(fleet.cold_until(&entry, &cold()), some(eq(until)));
@@ -215,10 +214,10 @@
     expect_that!(fleet.cold_until(&warm, &cold()), none());
 }
 
-/// Guards against full traffic at hosts that became cold while their failure domain was evacuated:
-/// their entries show that late.
+/// Guards against full traffic at hosts that became cold during an evacuation: their entries show
+/// that late.
 #[gtest]
-fn hosts_of_a_failure_domain_that_is_taken_back_count_as_cold() {
+fn hosts_count_as_cold_after_an_evacuation_ends() {
     let now = Instant::now();
     let mut fleet = Fleet::default();
     let (near, far) = (host("a", "z1", 0), host("b", "z2", 0));
@@ -240,8 +239,8 @@
 }
 
 proptest! {
-    /// Whatever part of the operator's decisions a node has as a list and whatever as changes, also
-    /// with changes that it had before, the last decision on each failure domain holds.
+    /// The last decision on each failure domain applies, however many of the operator's decisions a
+    /// node receives as a snapshot or as changes, including repeated changes.
     #[test]
     fn the_last_decision_on_a_failure_domain_holds(
         decisions in proptest::collection::vec(decision(), 1..12),
--- a/crates/fleet/tests/ejection.rs
+++ b/crates/fleet/tests/ejection.rs
@@ -1,4 +1,4 @@
-//! Outlier ejection of a host, by what it rejects and accepts.
+//! Tests of outlier ejection of a host.
 
 use std::time::{Duration, Instant};
 
@@ -20,7 +20,7 @@
     ejection
 }
 
-/// How long a host gets nothing after `now`, in steps of 10 ms.
+/// How long a host stays ejected after `now`, in steps of 10 ms.
 fn ejected_for(ejection: &Ejection, now: Instant) -> Duration {
     let steps = (0..500).map(|n| millis(10 * n));
     let mut admitted = steps.filter(|time| ejection.admits(0, now + *time));
@@ -68,7 +68,7 @@
     expect_that!(ejection.admits(10 * SLOTS, now), eq(true));
 }
 
-/// Guards against leaving out a host that serves most of its requests.
+/// Guards against ejecting a host that serves most of its requests.
 #[gtest]
 fn a_host_that_rejects_some_requests_is_suspected_and_not_ejected() {
     let now = Instant::now();
--- a/crates/fleet/tests/packing.rs
+++ b/crates/fleet/tests/packing.rs
@@ -1,4 +1,4 @@
-//! How many replicas of which model a planner forms of the hosts that it has.
+//! Tests of how many replicas of each model a planner forms.
 
 mod support;
 
@@ -63,7 +63,7 @@
     fleet
 }
 
-/// Replicas of each model that a planner orders hosts to join, within some steps.
+/// Number of replicas of each model that a planner orders hosts to join within a few passes.
 fn formed(fleet: &Fleet, service: &Service, cold: bool, now: Instant) -> BTreeMap<SmolStr, usize> {
     let mut planner = Planner::new(1, PlannerTiming::default(), now);
     let mut replicas = BTreeMap::new();
@@ -92,10 +92,10 @@
     counts
 }
 
-/// Guards against a model without replicas for hours after the planner changed while all started:
+/// Guards against a model without replicas for hours after a change of planner during startup:
 /// hosts answer the new planner one by one, and the first few only fit the small model.
 #[gtest]
-fn a_new_planner_forms_nothing_of_the_first_hosts_that_answer() {
+fn a_new_planner_forms_nothing_from_the_first_hosts_that_answer() {
     let began = Instant::now();
     let service = service(vec![model("large", 16, 0.5), model("small", 4, 0.5)]);
     let hosts: Vec<Host> = (0..35).map(|n| host(0, n, None)).collect();
@@ -104,7 +104,7 @@
     let mut sizes: BTreeMap<SmolStr, usize> = BTreeMap::new();
     for step in 0..100 {
         let at = began + Duration::from_millis(60) * step;
-        // Asked once the planner before can give no orders; then five more answer in each step.
+        // Queried once the previous planner can send no orders; then five more answer in each pass.
         let settled = (step as usize).saturating_sub(33);
         let able = &hosts[..hosts.len().min(settled * 5)];
         for command in planner.plan(&fleet, &[&service], true, at) {
@@ -131,10 +131,10 @@
     expect_that!(of_size(4), eq(4), "{sizes:?}");
 }
 
-/// Guards against a planner that takes over while hosts are being listed again giving up every
-/// replica that serves.
+/// Guards against a planner that takes over while hosts are being listed again and dissolves all
+/// serving replicas.
 #[gtest]
-fn a_new_planner_waits_for_the_list_before_it_takes_replicas_for_incomplete() {
+fn a_new_planner_waits_for_the_list_before_it_dissolves_incomplete_replicas() {
     let began = Instant::now();
     let service = service(vec![model("large", 16, 0.5), model("small", 4, 0.5)]);
     let member = |n: usize| Host {
@@ -156,7 +156,7 @@
     let mut left = Vec::new();
     for step in 0..60 {
         let at = began + Duration::from_millis(60) * step;
-        // Half are listed at first, all after a second.
+        // Half are listed at first, all after one second.
         let listed = if step < 17 { 8 } else { 16 };
         let fleet = fleet(hosts[..listed].to_vec(), at);
         for command in planner.plan(&fleet, &[&service], false, at) {
@@ -181,11 +181,11 @@
     expect_that!(open.count(), eq(1));
 }
 
-/// The share of a model is of the work of all hosts. One with small replicas needs more of
-/// them for its share; were replicas counted alike, the hosts that the large model doesn't fit
-/// on any more would do nothing, 17 of 37 in each domain, and the small one's callers wait.
+/// A model's share is of the work of all hosts, so a model with small replicas needs more of them.
+/// If all replicas counted alike, hosts on which the large model no longer fits would be idle, 17
+/// of 37 in each domain, while the small model's callers wait.
 #[gtest]
-fn hosts_are_shared_by_work_and_few_are_left_over() {
+fn hosts_are_divided_by_work_and_few_stay_idle() {
     let now = Instant::now();
     let cases = [
         (9, (4, 0.57), (3, 0.43)),
@@ -209,18 +209,18 @@
         let used = count("large") * large + count("small") * small;
         let idle = 6 * each - used;
         let case = format!("{each} hosts, replicas of {large} and {small}: {formed:?}");
-        // Two spares a domain, and less than the smaller replica besides.
+        // Two spares per domain, plus fewer than a small replica needs.
         expect_that!(idle, le(6 * (2 + small)), "{case}");
         expect_that!(count("large"), ge(6), "{case}");
         expect_that!(count("small"), ge(6), "{case}");
     }
 }
 
-/// Most replicas of a pool were lost at once, and hosts of a domain hold the weights of
-/// different models. The three that hold the small one can serve at once; waiting with the
-/// others for what the large one lacks, they would serve nobody for 16 s.
+/// After most replicas of a pool were lost at once, hosts of a domain have weights of different
+/// models. The three with the small model's weights can serve immediately; waiting for the large
+/// model's weights, they would be idle for 16 s.
 #[gtest]
-fn what_can_serve_without_a_load_does_not_wait_for_one() {
+fn a_replica_that_needs_no_load_does_not_wait_for_one() {
     let now = Instant::now();
     let models = vec![model("large", 6, 0.67), model("small", 3, 0.33)];
     let service = service(models);
@@ -230,11 +230,11 @@
     expect_that!(formed.get("small"), some(eq(&1)));
 }
 
-/// A domain has lost hosts, and those that no replica has hold the small model's weights. They can
-/// serve at once but for one that stays behind. Kept as spares for a second loss they would serve
-/// nobody, while callers are refused.
+/// A domain has lost hosts, and its free hosts have the small model's weights. All but one can
+/// serve immediately; kept as spares for a second loss, they would be idle while callers are
+/// rejected.
 #[gtest]
-fn hosts_that_hold_the_weights_serve_rather_than_wait_as_spares() {
+fn hosts_with_the_weights_serve_rather_than_wait_as_spares() {
     let now = Instant::now();
     let service = service(vec![model("large", 12, 0.5), model("small", 6, 0.5)]);
     let formed_of = |each: usize| {
--- a/crates/fleet/tests/policy.rs
+++ b/crates/fleet/tests/policy.rs
@@ -1,4 +1,4 @@
-//! The small policies: routes and keys, the host list, placing, repeats, stalls.
+//! Tests of routes and keys, the host list, load balancing, retries and stall detection.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -44,7 +44,7 @@
 }
 
 #[gtest]
-fn the_longest_prefix_takes_a_request() {
+fn the_longest_prefix_matches_a_request() {
     let catalog = catalog();
     let name = |path: &str| {
         catalog
@@ -59,7 +59,7 @@
 }
 
 #[gtest]
-fn a_key_is_needed_but_on_public_routes() {
+fn a_key_is_required_except_on_public_routes() {
     let catalog = catalog();
     let of = |path: &str, key| {
         let route = catalog
@@ -92,10 +92,10 @@
     }
 }
 
-/// Entries lapse while the store is away. The first list after it lacks hosts that are
-/// well; given up at once, every replica would be formed anew.
+/// Entries expire during a store outage, and the first list after it lacks healthy hosts. If those
+/// were removed at once, every replica would be formed anew.
 #[gtest]
-fn hosts_that_lapsed_with_the_store_are_kept_for_two_seconds() {
+fn hosts_that_expired_during_a_store_outage_are_kept_for_two_seconds() {
     let now = Instant::now();
     let mut fleet = Fleet::default();
     fleet.apply(
@@ -112,7 +112,7 @@
 }
 
 #[gtest]
-fn a_host_that_goes_while_the_store_is_well_is_gone_at_once() {
+fn a_host_removed_while_the_store_is_up_is_gone_immediately() {
     let now = Instant::now();
     let mut fleet = Fleet::default();
     fleet.apply(FleetChange::Snapshot(vec![host("a")]), now);
@@ -130,11 +130,10 @@
     }
 }
 
-/// Four nodes see hosts of their own and of other failure domains under rising load. A
-/// request crosses only where its own domain's hosts are a quarter fuller, and a host that
-/// fails half of its requests is avoided even when it is empty.
+/// A request crosses failure domains only if the hosts of its own are a quarter fuller, and a host
+/// that fails half of its requests is avoided even if it is empty.
 #[gtest]
-fn a_near_host_goes_first_until_it_is_much_fuller() {
+fn a_host_of_the_same_domain_is_preferred_until_it_is_much_fuller() {
     let chosen = |near_load: usize| {
         let hosts = [
             candidate("near", near_load, true, 0),
@@ -156,20 +155,19 @@
     expect_that!(choose_host(&[], 0.0, 0.5), none());
 }
 
-/// 74 nodes send 433 requests a second to 24 heads and hear of each other's loads every half
-/// second, three quarters of a second late at most. If each chose the emptiest by what it
-/// heard, all would crowd one head after the other: it refuses what it has no place for, and
-/// its callers wait while other heads do nothing.
+/// 74 nodes send 433 requests a second to 24 heads and report loads every half second, up to three
+/// quarters of a second late. If each chose the least loaded head by the reports, all would
+/// overload one head after the other, which rejects the excess while other heads are idle.
 #[gtest]
-fn many_nodes_with_old_loads_spread_over_all_heads() {
+fn many_nodes_with_stale_loads_spread_over_all_heads() {
     expect_that!(busiest_over_mean(74, 24, 0.0), gt(10.0));
     expect_that!(busiest_over_mean(74, 24, 1.0), lt(2.0));
     expect_that!(busiest_over_mean(7, 24, 1.0), lt(2.0));
 }
 
-/// The most requests that one of `heads` has at any time, over the mean of all: 433 requests
-/// come in a second, each runs for 0.9 s, and loads of others are known as they were up to
-/// 0.75 s ago. `counted` is the part of the unseen requests that nodes reckon with.
+/// Maximum number of requests at one of `heads` at any time, divided by the mean: 433 requests
+/// arrive per second, each runs for 0.9 s, and reported loads are up to 0.75 s old. `counted` is
+/// the fraction of the unseen requests that nodes take into account.
 fn busiest_over_mean(nodes: usize, heads: usize, counted: f64) -> f64 {
     let mut rng = fastrand::Rng::with_seed(7);
     let (mut ends, mut loads) = (Vec::new(), vec![0_usize; heads]);
@@ -186,7 +184,7 @@
         });
         history.push(loads.clone());
         if tick % 216 == 0 {
-            // 250 ms on the way.
+            // 250 ms in transit.
             told.clone_from(&history[history.len().saturating_sub(108)]);
         }
         let candidates: Vec<HostCandidate> = told
@@ -207,8 +205,8 @@
     most as f64 * heads as f64 * f64::from(seen) / sum as f64
 }
 
-/// In any window the repeats of all nodes stay under their bound.
-fn expect_within_bound(
+/// Checks that the retries of all nodes stay within the budget in any window.
+fn expect_within_budget(
     requests: &[Instant],
     repeats: &[Instant],
     window: Duration,
@@ -223,10 +221,10 @@
     }
 }
 
-/// All nodes repeat as much as they may while hosts fail. Over any window the sum stays
-/// under the bound, which counts requests of all nodes and one slack for them together.
+/// All nodes retry as much as they may while hosts fail. In any window the total stays within the
+/// budget, which counts the requests of all nodes and one slack for all of them.
 #[gtest]
-fn repeats_of_all_nodes_stay_under_their_bound() {
+fn retries_of_all_nodes_stay_within_the_budget() {
     let began = Instant::now();
     let window = Duration::from_secs(10);
     let (nodes, slack, ratio) = (7, 132.0, 0.2);
@@ -244,15 +242,15 @@
             repeats.push(now);
         }
     }
-    expect_within_bound(&requests, &repeats, window, ratio, slack);
+    expect_within_budget(&requests, &repeats, window, ratio, slack);
     expect_that!(repeats.len(), gt(300));
 }
 
-/// All nodes are killed and start again while hosts fail. A node that has just started knows
-/// no other, and some of the window's repeats were used before its start: the sum must stay
-/// under the bound all the same, or hosts that fail get still more work.
+/// All nodes restart while hosts fail. A new node knows no other nodes, and some of the window's
+/// retries were used before the restart. The total must still stay within the budget, or failing
+/// hosts get even more load.
 #[gtest]
-fn nodes_that_start_again_together_stay_under_the_bound_on_repeats() {
+fn nodes_that_restart_together_stay_within_the_retry_budget() {
     let began = Instant::now();
     let window = Duration::from_secs(10);
     let (nodes, slack, ratio) = (74, 278.0, 0.2);
@@ -265,7 +263,7 @@
         if now == restart {
             all = (0..nodes).map(|_| fresh(now)).collect();
         }
-        // For half a second after a start a node has heard of no other.
+        // For half a second after a start a node knows no other.
         let alone = now >= restart && now < restart + millis(500);
         let known = if alone { 1 } else { nodes };
         let node = &mut all[(tick % nodes as u64) as usize];
@@ -275,11 +273,11 @@
             repeats.push(now);
         }
     }
-    expect_within_bound(&requests, &repeats, window, ratio, slack);
+    expect_within_budget(&requests, &repeats, window, ratio, slack);
 }
 
-/// Plays 100 requests a second of one node at three hosts; `rejects` says whether the first one
-/// rejects at that second. The part of each second's requests that were sent to it.
+/// Simulates 100 requests per second of one node to three hosts. `rejects` tells whether the first
+/// host rejects in that second. Returns the fraction of each second's requests sent to it.
 fn sent_to_the_first(seconds: u64, rejects: impl Fn(u64) -> bool) -> Vec<f64> {
     let began = Instant::now();
     let mut rng = fastrand::Rng::with_seed(5);
@@ -323,20 +321,20 @@
     sent
 }
 
-/// Guards against a host that rejects at once being sent every request, and against one that has
-/// recovered being left out for good.
+/// Guards against sending every request to a host that rejects immediately, and against avoiding a
+/// recovered host forever.
 #[gtest]
-fn a_plain_host_that_rejects_is_left_out_until_it_serves_again() {
+fn a_plain_host_that_rejects_is_avoided_until_it_serves_again() {
     let sent = sent_to_the_first(20, |second| (2..8).contains(&second));
     expect_that!(sent[1], gt(0.25));
     expect_that!(sent[3..8].iter().sum::<f64>() / 5.0, lt(0.1));
     expect_that!(sent[14..].iter().sum::<f64>() / 6.0, gt(0.25));
 }
 
-/// A replica loses a member: nothing comes any more. A slow one gives its events rarely
-/// but gives them, and must not be taken for one that stands still.
+/// A replica that lost a member sends no more events. A slow replica sends events at long intervals
+/// and must not count as stalled.
 #[gtest]
-fn silence_counts_by_the_usual_pause() {
+fn the_stall_threshold_scales_with_the_usual_gap() {
     let rule = StallThreshold::default();
     let began = Instant::now();
     let mut quick = StreamActivity::default();
@@ -354,10 +352,10 @@
     expect_that!(StreamActivity::default().stalls_at(&rule), none());
 }
 
-/// Another node has lost sight of a replica. Its streams here come as always, so it can't
-/// have lost a member; streams that got work but no event say nothing.
+/// Another node can't reach a replica whose streams here continue, so it can't have lost a member.
+/// Requests without events yet don't show that.
 #[gtest]
-fn only_events_show_that_a_replica_moves() {
+fn only_events_show_that_a_replica_is_not_stalled() {
     let rule = StallThreshold::default();
     let now = Instant::now();
     let mut progress = StreamActivity::default();
@@ -368,7 +366,7 @@
         progress.has_recent_event(&rule, now + millis(200)),
         eq(true)
     );
-    // The earliest news of a loss that is real.
+    // The earliest report of a real loss.
     expect_that!(
         progress.has_recent_event(&rule, now + millis(320 + 230)),
         eq(false)
--- a/crates/fleet/tests/relay.rs
+++ b/crates/fleet/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Who has the platform's lists from whom, and what is told of them.
+//! Tests of the distribution of the platform's lists between nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -27,7 +27,7 @@
     }
 }
 
-/// The parent of the node at `me`, among those of `up`.
+/// The parent of the node at index `me` among the nodes `up`.
 fn parent<'n>(
     up: &'n [(NodeId, FailureDomain)],
     me: usize,
@@ -38,7 +38,7 @@
     list_parent(candidate(&up[me]), holder, others).map(|parent| parent.node)
 }
 
-/// How many of the nodes ask the store, and the longest way of a change from it.
+/// Number of nodes that read the store, and the maximum number of hops of a change.
 fn readers_and_hops(up: &[(NodeId, FailureDomain)], holder: Option<&NodeId>) -> (usize, usize) {
     let index = |id: &NodeId| up.iter().position(|(other, _)| other == id);
     let mut readers = 0;
@@ -57,10 +57,10 @@
     (readers, hops)
 }
 
-/// From 5 to 300 nodes the store is asked by the holder of the lease alone, and while nobody
-/// holds it by one node of each failure domain. Any node may be gone.
+/// With 5 to 300 nodes only the holder of the lease reads the store, or one node of each failure
+/// domain if there is no holder. Any node may be gone.
 #[gtest]
-fn the_store_is_asked_by_a_handful_whatever_the_number_of_nodes() {
+fn few_nodes_read_the_store_whatever_the_number_of_nodes() {
     for count in [5, 7, 74, 300] {
         let all = nodes(count);
         for gone in 0..count.min(40) {
@@ -73,13 +73,13 @@
             let (readers, hops) = readers_and_hops(&up, Some(&holder));
             expect_that!(readers, eq(1), "{count} nodes");
             expect_that!(hops, le(2), "{count} nodes");
-            // It is still said to hold the lease, but nobody hears it.
+            // It still counts as the holder of the lease, but no node hears it.
             expect_that!(readers_and_hops(&up, Some(&gone)), eq((one_a_domain, 1)));
         }
     }
 }
 
-/// How many nodes have the lists from each node that has children.
+/// Number of nodes that poll each node.
 fn children(up: &[(NodeId, FailureDomain)], holder: &NodeId) -> BTreeMap<NodeId, usize> {
     let mut children: BTreeMap<NodeId, usize> = BTreeMap::new();
     for me in 0..up.len() {
@@ -90,10 +90,10 @@
     children
 }
 
-/// Guards against one node of a failure domain having to tell the lists to all others, whose number
-/// grows with the fleet.
+/// Guards against one node of a failure domain sending the lists to all others, whose number grows
+/// with the fleet.
 #[gtest]
-fn no_node_tells_lists_to_more_than_a_part_of_a_fleet() {
+fn no_node_is_polled_by_more_than_a_fraction_of_a_fleet() {
     let most = [985, 1970].map(|count| {
         let node = |n: usize| (format!("n{n}").into(), format!("z{}", n % 5).into());
         let up: Vec<(NodeId, FailureDomain)> = (0..count).map(node).collect();
@@ -104,7 +104,7 @@
         children(&up, &holder).into_values().max().unwrap_or(0)
     });
     expect_that!(most, each(le(50)));
-    // By the square root of the number of nodes.
+    // Grows with the square root of the number of nodes.
     expect_that!(most[1] as f64 / most[0] as f64, le(1.5));
 }
 
@@ -112,10 +112,10 @@
     vec![n]
 }
 
-/// A node that lags behind gets what it lacks, also when its version lies within a batch; one
-/// that lags too far gets the whole list, and never a part of it with a gap.
+/// A node that lags behind gets the missing changes, also if its version is within a batch. One
+/// that lags too far gets the full list, never changes with a gap.
 #[gtest]
-fn changes_are_told_without_a_gap() {
+fn changes_are_sent_without_a_gap() {
     let now = Instant::now();
     let mut log = ChangeLog::default();
     expect_that!(log.changes_since(3), eq(&SyncUpdate::Snapshot));
@@ -135,25 +135,25 @@
     expect_that!(log.changes_since(20), eq(&changes(&[4])));
 }
 
-/// A node is cut off from the store and goes on answering others. The age that it tells must
-/// grow all the while, or they would take its old list for the present one.
+/// A node that is partitioned from the store keeps answering others. The age that it reports must
+/// grow, or they would treat its old list as current.
 #[gtest]
-fn a_list_that_nothing_confirms_grows_old() {
+fn the_age_of_an_unconfirmed_list_grows() {
     let now = Instant::now();
     let mut log = ChangeLog::default();
     expect_that!(log.age(now), none());
     log.reset(10, now);
     log.append(vec![], 10, now + millis(400), now + millis(410));
     expect_that!(log.age(now + millis(1000)), some(eq(millis(600))));
-    // News that is older than what is known makes it no younger and no older.
+    // Older information does not change the age.
     log.append(vec![], 8, now + millis(100), now + millis(1000));
     expect_that!(log.age(now + millis(1000)), some(eq(millis(600))));
     expect_that!(log.version(), eq(10));
 }
 
-/// Guards against the first lists of a fleet crossing between failure domains once for each node.
+/// Guards against the first lists crossing between failure domains once per node.
 #[gtest]
-fn first_copies_come_from_the_own_failure_domain() {
+fn first_copies_come_from_the_same_failure_domain() {
     let up = nodes(30);
     for me in 0..up.len() {
         let others = || up.iter().enumerate().filter(|(n, _)| *n != me);
@@ -172,8 +172,8 @@
     }
 }
 
-/// Guards against nodes that start together each reading the whole list from the store: however
-/// many they are, no more of a failure domain read before copies are there.
+/// Guards against nodes that start together all reading the full list from the store: however many
+/// there are, only a few of a failure domain read before copies are available.
 #[gtest]
 fn few_nodes_that_start_together_read_the_store_first() {
     let read_time = millis(100);
--- a/crates/fleet/tests/roles.rs
+++ b/crates/fleet/tests/roles.rs
@@ -1,4 +1,4 @@
-//! Which node takes on work for the others.
+//! Tests of the selection of nodes for shared roles.
 
 use eelgrassmill_base::{FailureDomain, NodeId};
 use eelgrassmill_fleet::{RoleCandidate, ranked_for_role, strongest};
@@ -42,7 +42,7 @@
     nodes.iter().copied().find(|n| n.id == *id)
 }
 
-/// Guards against a small node stalling the fleet under work that it does for all others.
+/// Guards against a small node delaying all others under the load of a shared role.
 #[gtest]
 fn roles_go_to_nodes_with_the_most_processor() {
     let all = fleet(36);
@@ -83,7 +83,7 @@
     }
 }
 
-/// Guards against nodes that say nothing of their processor being left out of a fleet of such.
+/// Guards against excluding nodes that don't report their processor capacity when none does.
 #[gtest]
 fn nodes_of_unknown_processor_take_roles_among_themselves() {
     let mut all = fleet(2);
--- a/crates/fleet/tests/schedule.rs
+++ b/crates/fleet/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Placing the requests of a model by one node, played against heads that work in passes.
+//! Simulates the scheduler of a model against heads that work in passes.
 
 mod support;
 
@@ -16,24 +16,24 @@
 
 use crate::support::speed;
 
-const AIM: Duration = Duration::from_millis(300);
-const PAUSE: Duration = Duration::from_millis(300);
-const PATIENCE: Duration = Duration::from_millis(1400);
+const LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
+const MAX_EVENT_GAP: Duration = Duration::from_millis(300);
+const MAX_WAIT: Duration = Duration::from_millis(1400);
 const SLOTS: usize = 30;
-/// Time from a grant until the scheduler hears that the head rejected the request.
+/// Time from a grant until the scheduler learns that the head rejected the request.
 const REJECTION_TIME: Duration = millis(8);
-/// Drafts that six heads can write in a second.
-const WRITABLE: f64 = 95.0;
-/// Heads that a request is sent to beyond the first.
+/// Requests that six heads can serve per second.
+const CAPACITY: f64 = 95.0;
+/// Maximum number of heads that a request is sent to after the first.
 const MAX_REJECTIONS: usize = 3;
-/// Heads at which a request may run.
+/// Maximum number of heads at which a request may run.
 const MAX_RUNS: usize = 2;
-/// Retries that the budget permits for each request.
+/// Retries that the budget permits per request.
 const RETRY_RATIO: f64 = 0.2;
-/// The timeout that callers name first, and the part of it by which they differ.
+/// Timeout of a caller's first attempt, and its relative spread.
 const TIMEOUT: Duration = millis(5000);
 const TIMEOUT_SPREAD: f64 = 0.15;
-/// How long a head that rejected a request gets none.
+/// How long a head gets no requests after it rejected one.
 const REJECTION_PAUSE: Duration = millis(250);
 
 const fn millis(ms: u64) -> Duration {
@@ -71,9 +71,9 @@
         prompt_tokens,
         resumed: false,
         urgency: 1,
-        on_time_until: now + AIM,
-        deadline: now + PATIENCE,
-        max_event_gap: PAUSE,
+        on_time_until: now + LATENCY_OBJECTIVE,
+        deadline: now + MAX_WAIT,
+        max_event_gap: MAX_EVENT_GAP,
         avoid: Default::default(),
     }
 }
@@ -83,29 +83,29 @@
 struct Stream {
     number: u64,
     unread: u64,
-    /// Events that are still to come.
+    /// Remaining events.
     events: u32,
     last_event: Option<Instant>,
-    /// Whether the pass under way reads or writes it.
+    /// Whether the current pass includes it.
     in_pass: bool,
 }
 
-/// A head that reads prompts and writes answers in passes.
+/// A head that prefills and decodes in passes.
 #[derive(Clone)]
 struct Head {
     streams: Vec<Stream>,
     pass_ends: Option<Instant>,
-    /// Its passes take this many times the usual time.
+    /// Factor on the duration of its passes.
     slowness: f64,
-    /// The part of its requests that it rejects at once.
+    /// Fraction of its requests that it rejects immediately.
     rejects: f64,
-    /// The part of its requests that it fails at once.
+    /// Fraction of its requests that it fails immediately.
     fails: f64,
 }
 
-/// What became of a request.
+/// Progress of a request.
 #[derive(Clone, Default)]
-struct Fate {
+struct RequestState {
     arrived: Option<Instant>,
     first: Option<Instant>,
     longest_pause: Duration,
@@ -113,33 +113,33 @@
     done: bool,
 }
 
-/// Who chooses heads: one node that places all requests, or each node by what it hears.
+/// Who chooses heads: one scheduler, or each node by reported loads.
 #[derive(Clone, Copy, PartialEq)]
 enum Way {
     Scheduler,
     OldLoads,
 }
 
-/// Callers that come back once after a rejection.
+/// Callers that retry once after a rejection.
 #[derive(Default)]
-struct Returns {
-    /// Whether their timeouts set them apart from new callers; `None` without any.
+struct Retries {
+    /// Whether their timeouts distinguish them from new callers; `None` if no caller retries.
     told_apart: Option<bool>,
     patience: CallerTimeouts,
-    /// Requests that come back, when, and the timeout that their callers named first.
+    /// Requests to retry, when, and the timeout of the first attempt.
     due: Vec<(Instant, u64, Duration)>,
     timeouts: HashMap<u64, Duration>,
 }
 
-impl Returns {
-    /// Until when a request can be on time that comes now, after `waited`.
+impl Retries {
+    /// Until when a request with the timeout `named` that arrives now can be on time.
     fn on_time_until(&mut self, named: Duration, now: Instant) -> Instant {
         if self.told_apart != Some(true) {
-            return now + AIM;
+            return now + LATENCY_OBJECTIVE;
         }
         let waited = self.patience.since_first_attempt(named, TIMEOUT);
         self.patience.on_request(named, TIMEOUT);
-        now + AIM - waited
+        now + LATENCY_OBJECTIVE - waited
     }
 }
 
@@ -147,18 +147,18 @@
     now: Instant,
     rng: fastrand::Rng,
     heads: Vec<Head>,
-    fates: Vec<Fate>,
+    fates: Vec<RequestState>,
     scheduler: Scheduler,
     way: Way,
     reported: Vec<usize>,
-    /// Prompts of requests that have no place yet.
+    /// Prompts of requests that have no slot yet.
     prompts: HashMap<u64, u64>,
-    /// Rejections that the scheduler hears of at that moment.
+    /// Rejections, and when the scheduler learns of them.
     rejections: Vec<(Instant, Rejection)>,
     rejected: u64,
-    /// Heads that rejected a request.
+    /// Heads that rejected each request.
     avoid: HashMap<u64, Vec<usize>>,
-    returns: Returns,
+    returns: Retries,
 }
 
 #[derive(Clone, Copy)]
@@ -185,7 +185,7 @@
             rng: fastrand::Rng::with_seed(11),
             heads: vec![idle; count],
             fates: Vec::new(),
-            // Old enough to count only what it places itself.
+            // Old enough to count only its own assignments.
             scheduler: Scheduler::new(speed(), now - Duration::from_secs(10)),
             way,
             reported: vec![0; count],
@@ -193,11 +193,11 @@
             rejections: Vec::new(),
             rejected: 0,
             avoid: HashMap::new(),
-            returns: Returns::default(),
+            returns: Retries::default(),
         }
     }
 
-    /// Plays `rate` requests a second for `length`.
+    /// Simulates `rate` requests per second for `length`.
     fn play(&mut self, rate: f64, length: Duration) {
         for ms in 0..length.as_millis() as u64 {
             self.now += millis(1);
@@ -208,7 +208,7 @@
                 self.arrive();
             }
             if self.way == Way::Scheduler {
-                self.come_back();
+                self.retry_due();
                 self.report_rejections();
                 self.assign();
             }
@@ -220,14 +220,14 @@
 
     fn arrive(&mut self) {
         let number = self.fates.len() as u64;
-        self.fates.push(Fate {
+        self.fates.push(RequestState {
             arrived: Some(self.now),
-            ..Fate::default()
+            ..RequestState::default()
         });
-        // 1,420 tokens in the mean, a few prompts several times as long.
+        // 1,420 tokens on average; a few prompts are several times as long.
         let prompt = (-(1.0 - self.rng.f64()).ln() * 1420.0).clamp(40.0, 4030.0) as u64;
         if self.way == Way::OldLoads {
-            let n = self.emptiest_by_old_loads();
+            let n = self.least_loaded_by_stale_loads();
             self.send(n, number, prompt);
             return;
         }
@@ -241,8 +241,8 @@
         self.scheduler.enqueue(ask, self.now);
     }
 
-    /// Asks again for requests whose callers come back now.
-    fn come_back(&mut self) {
+    /// Enqueues requests again whose callers retry now.
+    fn retry_due(&mut self) {
         let now = self.now;
         let due = self.returns.due.extract_if(.., |(at, ..)| *at <= now);
         let due: Vec<_> = due.collect();
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Notes that a request was rejected; its caller may come back once.
+    /// Records that a request was rejected; its caller may retry once.
     fn reject(&mut self, number: u64) {
         self.fates[number as usize].refused = Some(self.now);
         if let Some(timeout) = self.returns.timeouts.remove(&number) {
@@ -269,8 +269,8 @@
         }
     }
 
-    /// As each of many nodes chooses for itself.
-    fn emptiest_by_old_loads(&mut self) -> usize {
+    /// Choice of a node that balances load on its own.
+    fn least_loaded_by_stale_loads(&mut self) -> usize {
         let candidate = |(n, load): (usize, &usize)| HostCandidate {
             host: format_smolstr!("{n}"),
             load: *load,
@@ -321,7 +321,7 @@
         });
     }
 
-    /// Asks again for requests that were rejected, not for the heads that did.
+    /// Enqueues rejected requests again, avoiding the heads that rejected them.
     fn report_rejections(&mut self) {
         let now = self.now;
         let heard = self.rejections.extract_if(.., |(at, _)| *at <= now);
@@ -356,7 +356,7 @@
         }
     }
 
-    /// Ends the head's pass if it is over, and begins the next.
+    /// Ends the head's pass if it is over, and starts the next.
     fn work(&mut self, n: usize) {
         let now = self.now;
         let head = &mut self.heads[n];
@@ -389,12 +389,12 @@
             self.fates[number as usize].done = true;
             self.scheduler.release(&key(number));
         }
-        self.begin_pass(n);
+        self.start_pass(n);
     }
 
-    fn begin_pass(&mut self, n: usize) {
+    fn start_pass(&mut self, n: usize) {
         let head = &mut self.heads[n];
-        // 7 steps with a piece of 2,048 tokens each.
+        // 7 steps with a chunk of 2,048 tokens each.
         let mut readable = 7 * 2048;
         let mut read = 0;
         for stream in head.streams.iter_mut().take(SLOTS) {
@@ -411,7 +411,7 @@
         }
     }
 
-    /// How long requests waited that were refused, the shortest first.
+    /// Wait times of rejected requests, the shortest first.
     fn rejected_waits(&self) -> Vec<Duration> {
         let refused = self
             .fates
@@ -422,20 +422,20 @@
         waits
     }
 
-    /// The part of the requests that were on time, of those that came `from` to `to`.
+    /// Fraction of the requests that were on time, of those that arrived `from` to `to`.
     fn on_time(&self, from: Instant, to: Instant) -> f64 {
-        let came = |f: &&Fate| f.arrived.is_some_and(|at| from <= at && at < to);
-        let all: Vec<&Fate> = self.fates.iter().filter(came).collect();
-        let on_time = |f: &&&Fate| {
+        let came = |f: &&RequestState| f.arrived.is_some_and(|at| from <= at && at < to);
+        let all: Vec<&RequestState> = self.fates.iter().filter(came).collect();
+        let on_time = |f: &&&RequestState| {
             let arrived = f.arrived.expect("all have arrived");
-            let first = f.first.is_some_and(|at| at - arrived <= AIM);
-            first && f.longest_pause <= PAUSE && f.done
+            let first = f.first.is_some_and(|at| at - arrived <= LATENCY_OBJECTIVE);
+            first && f.longest_pause <= MAX_EVENT_GAP && f.done
         };
         all.iter().filter(on_time).count() as f64 / all.len() as f64
     }
 }
 
-/// The part of the drafts that are on time at six heads, which can write 95 in a second.
+/// Fraction of the requests that are on time at six heads, which can serve 95 per second.
 fn on_time(way: Way, rate: f64) -> f64 {
     let mut world = World::new(6, way);
     let began = world.now;
@@ -443,50 +443,50 @@
     world.on_time(began, began + Duration::from_secs(17))
 }
 
-/// Heads are nearly full. Nodes that choose by loads half a second old send several long
-/// prompts to one head while others read nothing: callers wait for their first event, and all
-/// streams of that head pause. One node that places all of them keeps nearly all on time.
+/// With nearly full heads, nodes that choose by loads half a second old send several long prompts
+/// to one head while others prefill nothing, which delays all its streams. A single scheduler keeps
+/// nearly all requests on time.
 #[gtest]
-fn one_node_that_places_all_keeps_drafts_on_time() {
+fn a_single_scheduler_keeps_drafts_on_time() {
     expect_that!(on_time(Way::OldLoads, 90.0), lt(0.45));
     expect_that!(on_time(Way::Scheduler, 90.0), gt(0.9));
 }
 
-/// More drafts come than heads can write. Those that can be on time go first and find a place
-/// free. Were late ones given every place, all would wait until they are late too.
+/// Under overload requests that can be on time go first and find a free slot. If late ones took
+/// every slot, all requests would wait until they are late too.
 #[gtest]
-fn while_too_many_come_most_of_those_that_are_served_are_on_time() {
+fn under_overload_most_served_requests_are_on_time() {
     expect_that!(on_time(Way::OldLoads, 110.0), lt(0.1));
     expect_that!(on_time(Way::Scheduler, 110.0), gt(0.6));
 }
 
-/// Guards against an overload in which each slot goes to the request that has waited longest, and
-/// is late by the least delay.
+/// Guards against an overload in which each slot goes to the request that has waited longest, which
+/// the smallest delay makes late.
 #[gtest]
-fn most_of_what_heads_can_write_is_on_time_in_any_overload() {
+fn most_of_the_capacity_is_on_time_in_any_overload() {
     for rate in [100.0, 110.0, 130.0, 200.0] {
-        let writable = WRITABLE / rate;
+        let writable = CAPACITY / rate;
         expect_that!(on_time(Way::Scheduler, rate), gt(0.75 * writable), "{rate}");
     }
 }
 
-/// Guards against callers waiting for slots that can't become free in their time.
+/// Guards against callers waiting for slots that can't become free before their deadline.
 #[gtest]
-fn requests_that_the_queue_can_not_serve_in_time_are_rejected_at_once() {
+fn requests_that_can_not_be_served_in_time_are_rejected_immediately() {
     let mut world = World::new(6, Way::Scheduler);
     world.play(71.0, Duration::from_secs(3));
-    // Three times as many as the heads can write.
+    // Three times the capacity of the heads.
     let from = world.now;
     world.play(285.0, Duration::from_secs(10));
     let waits = world.rejected_waits();
-    expect_that!(waits[waits.len() / 2], lt(AIM));
-    // A third of them is what the heads can write.
+    expect_that!(waits[waits.len() / 2], lt(LATENCY_OBJECTIVE));
+    // The heads can serve a third of them.
     expect_that!(world.on_time(from, from + Duration::from_secs(8)), gt(0.2));
 }
 
-/// Guards against requests being sent to replicas with a slow member while others have room.
+/// Guards against sending requests to replicas with a slow member while others have room.
 #[gtest]
-fn requests_avoid_heads_that_turned_slow() {
+fn requests_avoid_slow_heads() {
     for slowness in [2.5, 5.0, 12.0] {
         play_slow_heads(slowness);
     }
@@ -500,29 +500,29 @@
     }
     let from = world.now + Duration::from_secs(2);
     world.play(50.0, Duration::from_secs(12));
-    // The four others can write 63 in a second.
+    // The other four can serve 63 per second.
     expect_that!(world.on_time(from, from + Duration::from_secs(8)), gt(0.9));
     for head in &mut world.heads {
         head.slowness = 1.0;
     }
     let from = world.now + Duration::from_secs(4);
-    // More than the four can write: the others are used again.
+    // More than the four can serve: the others are used again.
     world.play(75.0, Duration::from_secs(10));
     expect_that!(world.on_time(from, from + Duration::from_secs(4)), gt(0.9));
 }
 
-/// Guards against a head that rejects everything getting a batch of requests each time that it is
-/// tried again, because it looks empty.
+/// Guards against sending a batch of requests to a head that rejects everything each time that it
+/// is retried, because it looks empty.
 #[gtest]
 fn a_head_that_rejects_everything_is_tried_with_one_request_at_a_time() {
     let mut world = World::new(6, Way::Scheduler);
     world.play(50.0, Duration::from_secs(3));
     world.heads[0].rejects = 1.0;
     let length = Duration::from_secs(10);
-    // More than the five others can write, so that requests wait.
+    // More than the other five can serve, so that requests are queued.
     world.play(100.0, length);
     let tries = length.div_duration_f64(REJECTION_PAUSE) as u64;
-    // The first rejection is heard of after requests that were sent meanwhile.
+    // Requests are sent before the first rejection is reported.
     expect_that!(world.rejected, le(tries + SLOTS as u64));
 }
 
@@ -536,7 +536,7 @@
         head.rejects = 0.5;
     }
     let (from, before) = (world.now, world.fates.len());
-    // The six others can write 95 in a second.
+    // The other six can serve 95 per second.
     world.play(70.0, Duration::from_secs(10));
     let requests = (world.fates.len() - before) as f64;
     expect_that!(world.rejected as f64, lt(0.1 * requests));
@@ -545,14 +545,14 @@
         head.rejects = 0.0;
     }
     world.play(70.0, Duration::from_secs(2));
-    // More than the six can write: the others are used again.
+    // More than the six can serve: the others are used again.
     let from = world.now;
     world.play(140.0, Duration::from_secs(6));
     expect_that!(world.on_time(from, from + Duration::from_secs(4)), gt(0.9));
 }
 
-/// Guards against heads that fail their requests at once, and so have all slots free, drawing the
-/// requests of the others.
+/// Guards against heads that fail requests immediately, so that their slots are free, attracting
+/// the requests of the others.
 #[gtest]
 fn heads_that_fail_everything_at_once_are_avoided_while_others_have_room() {
     for failing in [1, 4] {
@@ -568,7 +568,7 @@
             head.fails = 0.0;
         }
         world.play(60.0, Duration::from_secs(2));
-        // More than the six others can write: all are used again.
+        // More than the other six can serve: all are used again.
         let from = world.now;
         world.play(130.0, Duration::from_secs(6));
         expect_that!(world.on_time(from, from + Duration::from_secs(4)), gt(0.9));
@@ -577,7 +577,7 @@
 
 /// Guards against ejecting heads, and with them capacity, for a fault that all of them share.
 #[gtest]
-fn heads_that_all_fail_alike_stay_in_use() {
+fn heads_that_all_fail_equally_stay_in_use() {
     let mut world = World::new(6, Way::Scheduler);
     world.play(90.0, Duration::from_secs(3));
     for head in &mut world.heads {
@@ -585,15 +585,15 @@
     }
     let from = world.now;
     world.play(150.0, Duration::from_secs(10));
-    // Of two runs both fail. The heads can write what is left.
+    // Both attempts of a request fail. The heads can serve the rest.
     let servable = 1.0 - 0.7 * 0.7;
     let on_time = world.on_time(from, from + Duration::from_secs(8));
     expect_that!(on_time, gt(0.9 * servable));
 }
 
-/// Guards against heads that serve half of their requests being left out when the others are full.
+/// Guards against avoiding heads that serve half of their requests when the others are full.
 #[gtest]
-fn heads_that_reject_half_of_their_requests_serve_what_others_have_no_room_for() {
+fn heads_that_reject_half_of_their_requests_serve_the_excess() {
     let mut world = World::new(10, Way::Scheduler);
     world.play(70.0, Duration::from_secs(3));
     for head in &mut world.heads[..7] {
@@ -605,11 +605,11 @@
     let came = &world.fates[before..];
     let served = came.iter().filter(|f| f.first.is_some()).count() as f64;
     let requests = came.len() as f64;
-    // A retry budget of a fifth, and the batches that were under way before anything was heard.
+    // A retry budget of a fifth, and the batches in flight before the first report.
     let batches = (7 * SLOTS) as f64;
     expect_that!(world.rejected as f64, lt(RETRY_RATIO * requests + batches));
-    // The three others can write 47 in a second. Each retry that the budget permits stands for
-    // one request that is rejected, and one that is not.
+    // The other three can serve 47 per second. Each permitted retry means one request that is
+    // rejected and one that is not.
     let servable = (47.0 + RETRY_RATIO * rate) / rate;
     expect_that!(served / requests, gt(0.9 * servable));
 }
@@ -632,7 +632,7 @@
     expect_that!(world.on_time(from, from + Duration::from_secs(4)), gt(0.95));
 }
 
-/// Guards against a queue that no node hears of, because no head has a request.
+/// Guards against a queue that is not reported because no head has a request.
 #[gtest]
 fn heads_that_reject_all_requests_are_reported() {
     let now = Instant::now();
@@ -653,9 +653,9 @@
     expect_that!(loads, elements_are![eq(&(0, true)), eq(&(0, false))]);
 }
 
-/// Guards against requests waiting while all heads idle, because first events took long before.
+/// Guards against queueing requests while all heads are idle, because of earlier slow first events.
 #[gtest]
-fn idle_heads_serve_late_requests_whatever_first_events_took_before() {
+fn idle_heads_serve_late_requests_after_slow_first_events() {
     let began = Instant::now();
     let mut scheduler = Scheduler::new(speed(), began - Duration::from_secs(10));
     let open = heads(5);
@@ -664,7 +664,7 @@
         scheduler.enqueue(ask(n, 0, began), began);
     }
     expect_that!(scheduler.assign(&open, began).len(), eq(full as usize));
-    // More come in a second than the heads have slots.
+    // More arrive per second than the heads have slots.
     let come = |scheduler: &mut Scheduler, n: u64| {
         let now = began + millis(3 * (n - full));
         scheduler.enqueue(ask(n, 0, now), now);
@@ -706,9 +706,9 @@
     expect_that!(world.on_time(from, from + Duration::from_secs(4)), gt(0.9));
 }
 
-/// For five seconds three times as many drafts come as heads can serve. Those that can be on
-/// time go first, others are told to come back. Three seconds after the burst all is as
-/// before. Where each node sends what it has, heads still read old prompts then.
+/// For five seconds three times as many requests arrive as heads can serve. Those that can be on
+/// time go first, others are rejected. Three seconds after the burst the service is back to normal;
+/// without a scheduler, heads would still be prefilling old prompts then.
 #[gtest]
 fn a_burst_is_over_three_seconds_after_its_end() {
     let after = |way| {
@@ -724,10 +724,10 @@
     expect_that!(after(Way::Scheduler), gt(0.9));
 }
 
-/// Guards against callers that come back after a rejection taking the slots of requests that can
-/// still be on time, so that a burst sinks as it lasts.
+/// Guards against callers that retry after a rejection taking the slots of requests that can still
+/// be on time, so that fewer requests are on time the longer a burst lasts.
 #[gtest]
-fn callers_that_come_back_do_not_make_others_late() {
+fn retrying_callers_do_not_make_others_late() {
     let burst = |told_apart| {
         let mut world = World::new(6, Way::Scheduler);
         world.returns.told_apart = Some(told_apart);
@@ -737,16 +737,16 @@
         world.on_time(from, from + Duration::from_secs(8))
     };
     let (told_apart, alike) = (burst(true), burst(false));
-    // Two thirds of what the heads can write.
-    let target = 2.0 / 3.0 * WRITABLE / 130.0;
+    // Two thirds of the capacity of the heads.
+    let target = 2.0 / 3.0 * CAPACITY / 130.0;
     expect_that!(alike, lt(target));
     expect_that!(told_apart, gt(target));
 }
 
-/// Another node takes over. Requests that the one before placed still run, and only the
-/// loads that nodes tell show them: a head that is full must not get more.
+/// Another node takes over. Requests of the previous scheduler still run and only show in reported
+/// loads; a full head must not get more.
 #[gtest]
-fn a_new_scheduler_counts_the_loads_that_nodes_tell() {
+fn a_new_scheduler_counts_reported_loads() {
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now);
     let mut open = heads(2);
@@ -761,10 +761,10 @@
     }
 }
 
-/// Guards against a new scheduler that fills heads anew once its own first report has replaced
-/// that of the scheduler before.
+/// Guards against a new scheduler that overfills heads once its own first report has replaced that
+/// of the previous one.
 #[gtest]
-fn a_new_scheduler_counts_what_the_one_before_assigned_until_it_has_ended() {
+fn a_new_scheduler_counts_assignments_of_the_previous_one() {
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now);
     let mut open = heads(2);
@@ -779,15 +779,15 @@
         scheduler.enqueue(ask(n, 0, soon), soon);
     }
     let assigned = scheduler.assign(&open, soon).len();
-    // A quarter of the streams of before have ended, and each head takes one beyond its slots.
+    // A quarter of the earlier streams have ended, and each head takes one beyond its slots.
     expect_that!(assigned, all![ge(SLOTS / 2), le(SLOTS / 2 + 2)]);
     let later = now + millis(2000);
     expect_that!(scheduler.assign(&open, later).len(), gt(SLOTS));
 }
 
-/// Guards against a scheduler filling heads that nodes have filled without it.
+/// Guards against a scheduler overfilling heads that nodes have filled without it.
 #[gtest]
-fn requests_placed_without_the_scheduler_take_slots() {
+fn unscheduled_requests_take_slots() {
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now - Duration::from_secs(10));
     let mut open = heads(1);
@@ -799,10 +799,10 @@
     expect_that!(scheduler.assign(&open, now).len(), eq(2));
 }
 
-/// The message that a stream has ended is lost. Its place must not be missing for ever, or
-/// heads would seem full while they do nothing.
+/// The message that a stream has ended is lost. Its slot must be released eventually, or heads
+/// would seem full while they are idle.
 #[gtest]
-fn a_place_whose_end_nobody_tells_lapses() {
+fn a_slot_whose_release_is_not_reported_expires() {
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now);
     let open = heads(1);
@@ -829,10 +829,10 @@
     (scheduler, open)
 }
 
-/// A caller leaves while its request waits, and a node dies whose requests wait and run. None
-/// of them may keep a place.
+/// A caller leaves while its request is queued, and a node dies whose requests are queued and
+/// running. None of them may keep a slot.
 #[gtest]
-fn requests_that_are_given_up_keep_no_place() {
+fn abandoned_requests_keep_no_slot() {
     let now = Instant::now();
     let (mut scheduler, open) = full(now);
     scheduler.release(&key(39));
@@ -845,10 +845,10 @@
     expect_that!(scheduler.assign(&open, now).len(), eq(SLOTS));
 }
 
-/// A stream has lost its replica when all heads are full, and requests wait. Its caller has
-/// part of the answer and leaves soon: it gets the next place.
+/// A stream has lost its replica while all heads are full and requests are queued. Its caller has
+/// part of the answer and gives up soon, so the stream gets the next slot.
 #[gtest]
-fn a_stream_that_goes_on_gets_the_next_place() {
+fn a_resumed_stream_gets_the_next_slot() {
     let now = Instant::now();
     let (mut scheduler, open) = full(now);
     scheduler.enqueue(
@@ -866,10 +866,10 @@
     );
 }
 
-/// A head refuses a request although it seems to have room: others gave it work that this
-/// scheduler knows nothing of. The next requests go elsewhere until it has had time.
+/// A head rejects a request although it seems to have room, because of work that this scheduler
+/// doesn't know. The next requests go to other heads for a while.
 #[gtest]
-fn a_head_that_refused_gets_nothing_for_a_while() {
+fn a_head_that_rejected_a_request_is_avoided_for_a_while() {
     let now = Instant::now();
     let mut scheduler = Scheduler::new(speed(), now);
     let open = heads(2);
--- a/crates/fleet/tests/spill.rs
+++ b/crates/fleet/tests/spill.rs
@@ -1,12 +1,12 @@
-//! Which failure domain's heads take a request, played with callers in several domains.
+//! Simulates spillover with callers in several failure domains.
 
 use eelgrassmill_base::FailureDomain;
 use eelgrassmill_fleet::{DomainLoad, choose_domain};
 use googletest::prelude::*;
 
-/// Requests that heads of one domain run at once.
+/// Maximum number of concurrent requests of one domain's heads.
 const SLOTS: usize = 300;
-/// Streams run for this long in the mean, in ticks, and differ in length.
+/// Mean duration of a stream in ticks; durations vary.
 const MEAN_DURATION: f64 = 40.0;
 /// Loads are reported this many ticks late.
 const REPORT_LAG: usize = 15;
@@ -14,15 +14,15 @@
 /// At least 0.95 of the requests should be served on time.
 const MAX_FOUND_FULL: f64 = 0.05;
 
-/// What a play came to.
+/// Result of a simulation.
 struct Played {
-    /// Part of the requests that stayed in their caller's domain.
+    /// Fraction of the requests that stayed in their caller's domain.
     stayed: f64,
-    /// Part of the requests that found the heads of their domain full, after the first half.
+    /// Fraction of the requests after the first half that found the heads of their domain full.
     found_full: f64,
 }
 
-/// Plays callers that send `arrivals[d]` requests a tick in each domain, to heads with
+/// Simulates callers that send `arrivals[d]` requests per tick in each domain, to heads with
 /// `slots[d]` slots.
 fn play(arrivals: &[usize], slots: &[usize]) -> Played {
     let count = arrivals.len();
@@ -75,16 +75,16 @@
     expect_that!(played.stayed, ge(0.95));
 }
 
-/// Guards against a busy failure domain refusing requests while others have free slots.
+/// Guards against a busy failure domain rejecting requests while others have free slots.
 #[gtest]
 fn a_domain_with_more_callers_spills_before_it_is_full() {
     let played = play(&[9, 5, 4], &[SLOTS; 3]);
-    // Nine requests a tick would be 1.2 for each slot, if all stayed.
+    // Nine requests per tick would be 1.2 per slot if all stayed.
     expect_that!(played.found_full, le(MAX_FOUND_FULL));
     expect_that!(played.stayed, ge(0.7));
 }
 
-/// Guards against callers of a failure domain that lost its heads being refused.
+/// Guards against rejecting callers of a failure domain that lost its heads.
 #[gtest]
 fn a_domain_without_heads_sends_to_those_that_have_some() {
     let played = play(&[5, 5, 3], &[SLOTS, SLOTS, 0]);
--- a/crates/fleet/tests/success.rs
+++ b/crates/fleet/tests/success.rs
@@ -1,4 +1,4 @@
-//! Outliers by their success rates.
+//! Tests of success-rate outlier detection.
 
 use std::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
     rate
 }
 
-/// Guards against a host that fails while its health checks pass being taken for a sound one.
+/// Guards against a host that fails requests while its health checks pass.
 #[gtest]
 fn a_host_that_fails_more_than_the_others_is_an_outlier() {
     let now = Instant::now();
@@ -32,7 +32,7 @@
     expect_that!(rate(0, 30, now).is_outlier(&others, now), eq(false));
 }
 
-/// Guards against judging a host by failures of long before.
+/// Guards against old failures counting as recent ones.
 #[gtest]
 fn failures_count_less_with_their_age() {
     let then = Instant::now();
