--- a/crates/fleet/src/planner.rs
+++ b/crates/fleet/src/planner.rs
@@ -324,7 +324,7 @@
         commands
     }
 
-    /// Removes state of hosts that are gone. A silent host is usable again once it is listed anew
+    /// Removes state of hosts that are gone. A silent host is usable again once it is listed again
     /// or with another start time.
     fn remove_stale(&mut self, fleet: &Fleet, now: Instant) {
         let bound: BTreeSet<HostId> = self
--- a/crates/fleet/src/planner/placement.rs
+++ b/crates/fleet/src/planner/placement.rs
@@ -110,9 +110,13 @@
     ) {
         self.form_without_loads(view, fabric, free);
         for model in self.wanted_models(view, fabric, free.len()) {
-            let first = self.serving_count(view, model, Some(fabric)) == 0;
-            let kept = if first { 0 } else { view.engine.models.len() };
-            if model.size == 0 || free.len() < model.size + kept {
+            let is_first = self.serving_count(view, model, Some(fabric)) == 0;
+            let spares_kept = if is_first {
+                0
+            } else {
+                view.engine.models.len()
+            };
+            if model.size == 0 || free.len() < model.size + spares_kept {
                 continue;
             }
             free.sort_by_key(|h| (self.join_time(h, Some(model), view.now), h.id.clone()));
@@ -132,7 +136,7 @@
             // An additional replica isn't worth holding spares for. While members of a lost replica
             // are leaving, a model may only seem to have none, and loading it would evict the
             // weights of another model from hosts that wait for that one.
-            if first && !self.is_releasing_members(fabric, view.now) {
+            if is_first && !self.is_releasing_members(fabric, view.now) {
                 for host in chosen {
                     self.stage(view, host, model, commands);
                 }
@@ -161,10 +165,10 @@
         let wanted = self.wanted_models(view, fabric, free.len());
         let neediest = wanted.first().map_or(0.0, |m| self.unmet_demand(view, m));
         for model in wanted {
-            let first = self.serving_count(view, model, Some(fabric)) == 0;
-            let kept = usize::from(!first);
+            let is_first = self.serving_count(view, model, Some(fabric)) == 0;
+            let spares_kept = usize::from(!is_first);
             let is_needed = self.unmet_demand(view, model) * REBALANCE_RATIO >= neediest;
-            if model.size == 0 || free.len() < model.size + kept || !is_needed {
+            if model.size == 0 || free.len() < model.size + spares_kept || !is_needed {
                 continue;
             }
             free.sort_by_key(|h| (self.join_time(h, Some(model), view.now), h.id.clone()));
@@ -220,8 +224,8 @@
         let waits_for = if view.cold { 0 } else { MAX_MISSING_HOSTS };
         let others_too = lacking > waits_for && self.all_are_listed(view.now);
         models.retain(|m| {
-            let first = self.serving_count(view, m, Some(fabric)) == 0;
-            first || others_too || neediest.name == m.name
+            let is_first = self.serving_count(view, m, Some(fabric)) == 0;
+            is_first || others_too || neediest.name == m.name
         });
         models
     }
--- a/crates/fleet/src/planner/rejecting.rs
+++ b/crates/fleet/src/planner/rejecting.rs
@@ -9,7 +9,7 @@
 use crate::planner::advance::PlanInput;
 use crate::planner::formation::{Formation, FormationPhase};
 
-/// How long a head must reject requests before its replica is formed anew. Heads that are only
+/// How long a head must reject requests before its replica is re-formed. Heads that are only
 /// briefly full must not be replaced.
 const MIN_REJECTING_TIME: Duration = Duration::from_millis(700);
 /// A head that was not reported for this long counts as having accepted requests again.
@@ -63,7 +63,7 @@
         self.rejecting.record(head, now);
     }
 
-    /// Whether a replica should be formed anew with another head.
+    /// Whether a replica should be re-formed with another head.
     ///
     /// Only one replica at a time per fabric domain: if all heads reject for a shared reason, the
     /// others continue with the requests that they accept.
--- a/crates/fleet/tests/planner.rs
+++ b/crates/fleet/tests/planner.rs
@@ -298,7 +298,7 @@
     expect_that!(world.members("d0", "large"), eq(&before));
 }
 
-/// When a member is leaving, the head finishes running requests, and the replica is formed anew
+/// When a member is leaving, the head finishes running requests, and the replica is re-formed
 /// without that member.
 #[gtest]
 fn a_leaving_member_is_replaced() {
--- a/crates/fleet/tests/policy.rs
+++ b/crates/fleet/tests/policy.rs
@@ -93,7 +93,7 @@
 }
 
 /// Entries expire during a store outage, and the first list after it lacks healthy hosts. If those
-/// were removed at once, every replica would be formed anew.
+/// were removed at once, every replica would be re-formed.
 #[gtest]
 fn hosts_that_expired_during_a_store_outage_are_kept_for_two_seconds() {
     let now = Instant::now();
