--- a/crates/claim/src/batch.rs
+++ b/crates/claim/src/batch.rs
@@ -1,4 +1,4 @@
-//! Many row changes in one transaction.
+//! Batches row changes into transactions.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -8,44 +8,45 @@
 use crate::key::ClaimKey;
 use crate::row::{RowChange, VersionedRow};
 
-/// Changes of one transaction by default.
+/// Default maximum number of changes in one transaction.
 const MAX_BATCH: usize = 64;
-/// Time that a change waits for company by default.
+/// Default maximum time that a change waits for its batch to fill.
 const MAX_WAIT: Duration = Duration::from_millis(3);
 
 value! {
-    /// Changes for one transaction. Invariant: no key twice.
+    /// Changes for one transaction. Invariant: keys are unique.
     pub struct Batch {
-        /// The changes.
+        /// Row changes to commit together.
         pub changes: Vec<RowChange>,
     }
 
-    /// A row that failed a transaction.
+    /// A row whose version condition failed a transaction.
     pub struct ConflictRow {
-        /// Its key.
+        /// Key of the row.
         pub key: ClaimKey,
-        /// What is there.
+        /// The row as it is stored now.
         pub current: VersionedRow,
     }
 
-    /// A batch that conflicted, taken apart.
+    /// A conflicted batch, split into lost changes and changes to retry.
     pub struct ConflictSplit {
-        /// These lost, to what is there (`None`: absent).
+        /// Changes that lost, each with the row stored now (`None`: absent).
         pub conflicted: Vec<(RowChange, Option<VersionedRow>)>,
-        /// These are to be tried again at once, each batch in a transaction of its own.
+        /// Batches to retry at once, each in its own transaction.
         pub retry: Vec<Batch>,
     }
 }
 
-/// A change of the same key waits or is under way here already.
+/// A change of the same key is already pending in this batcher.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a change of this claim is already under way")]
+#[error("a change of this claim row is already pending")]
 pub struct KeyBusy;
 
-/// Gathers row changes for a few milliseconds, or until there are enough.
+/// Collects row changes into a batch until it is full or its oldest change has waited long enough.
 #[derive(Debug)]
 pub struct ClaimBatcher {
     pending: BTreeMap<ClaimKey, RowChange>,
+    /// When the oldest pending change arrived; `None` while nothing is pending.
     since: Option<Instant>,
     max: usize,
     wait: Duration,
@@ -58,7 +59,7 @@
 }
 
 impl ClaimBatcher {
-    /// Gathers up to `max` changes for at most `wait`.
+    /// Creates a batcher for up to `max` changes that wait at most `wait`.
     pub fn new(max: usize, wait: Duration) -> ClaimBatcher {
         ClaimBatcher {
             pending: BTreeMap::new(),
@@ -68,11 +69,11 @@
         }
     }
 
-    /// Adds a change; gives the batch when it is full.
+    /// Adds a change and returns the batch once it is full.
     ///
     /// # Errors
-    /// [`KeyBusy`] when the same key waits already: two claims of one key in one
-    /// transaction could never both hold. The request is in progress here.
+    /// [`KeyBusy`] when a change of the same key is pending: two claims of one key in one
+    /// transaction can't both be committed. The request is then in progress here.
     pub fn push(&mut self, change: RowChange, now: Instant) -> Result<Option<Batch>, KeyBusy> {
         if self.pending.contains_key(&change.key) {
             return Err(KeyBusy);
@@ -82,13 +83,13 @@
         Ok((self.pending.len() >= self.max).then(|| self.take()))
     }
 
-    /// Gives the batch when its time has come.
+    /// Returns the batch once its waiting time has passed.
     pub fn due(&mut self, now: Instant) -> Option<Batch> {
         let due = self.next_due().is_some_and(|at| at <= now);
         due.then(|| self.take())
     }
 
-    /// When `due` has to be called next.
+    /// When to call `due` next; `None` while nothing is pending.
     pub fn next_due(&self) -> Option<Instant> {
         self.since.map(|since| since + self.wait)
     }
@@ -103,11 +104,11 @@
 }
 
 impl Batch {
-    /// Takes a conflicted batch apart, so that one lost claim doesn't fail the others.
+    /// Splits a conflicted batch, so that one lost claim doesn't fail the others.
     ///
-    /// A conflict names the rows that are there but not those that are absent, so
-    /// a change of an existing row that isn't named may have lost too; it goes alone,
-    /// where a conflict without rows can only mean itself.
+    /// A conflict lists existing rows but not absent ones, so an update of a row that isn't
+    /// listed may have lost too. It is retried in its own transaction, where a conflict
+    /// without rows can only refer to that row.
     pub fn split(self, conflicts: impl IntoIterator<Item = ConflictRow>) -> ConflictSplit {
         let mut current_rows: BTreeMap<ClaimKey, VersionedRow> =
             conflicts.into_iter().map(|c| (c.key, c.current)).collect();
--- a/crates/claim/src/circuit_breaker.rs
+++ b/crates/claim/src/circuit_breaker.rs
@@ -1,26 +1,26 @@
-//! Refusing at-most-once requests at once while the table service is down.
+//! Circuit breaker that rejects at-most-once requests at once while the table service is down.
 
 use std::time::{Duration, Instant};
 
-/// Failures in a row after which the store counts as down.
+/// Consecutive failures that open the circuit.
 const FAILURE_THRESHOLD: u32 = 3;
-/// While it is down, one request in this time tries it.
+/// While the circuit is open, one request per interval is admitted as a probe.
 const PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Callers come back no earlier than this.
+/// Shortest retry delay given to rejected callers.
 const MIN_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// The store is down: the request is refused as `not-run`.
+/// The table service is unavailable: the request is rejected as `not-run`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the table service is down; come back in {} ms", retry_after.as_millis())]
+#[error("the table service is unavailable; retry in {} ms", retry_after.as_millis())]
 pub struct StoreUnavailable {
-    /// When to come back.
+    /// Delay before the caller may retry.
     pub retry_after: Duration,
 }
 
-/// Whether claims can be made.
+/// Circuit breaker for the table service that stores claims.
 ///
-/// Without it each request would wait for a time-out of the store before it
-/// is refused, and an hour's outage would hold thousands of connections.
+/// Without it each request would wait for a table timeout before it is rejected,
+/// and an hour's outage would hold thousands of connections open.
 #[derive(Debug)]
 pub struct StoreCircuitBreaker {
     failures: u32,
@@ -29,7 +29,7 @@
 }
 
 impl StoreCircuitBreaker {
-    /// An open gate; give each node its own `seed`.
+    /// Creates a closed circuit. Each node needs its own `seed` for the retry jitter.
     pub fn new(seed: u64) -> StoreCircuitBreaker {
         StoreCircuitBreaker {
             failures: 0,
@@ -38,10 +38,10 @@
         }
     }
 
-    /// Lets a request try the store, or refuses it.
+    /// Admits a request to the store or rejects it.
     ///
     /// # Errors
-    /// [`StoreUnavailable`] with a spread time to come back.
+    /// [`StoreUnavailable`] with a jittered retry delay.
     pub fn admit(&mut self, now: Instant) -> Result<(), StoreUnavailable> {
         let recently_probed = |at: Instant| now.saturating_duration_since(at) < PROBE_INTERVAL;
         if self.failures >= FAILURE_THRESHOLD && self.last_probe.is_some_and(recently_probed) {
@@ -54,13 +54,13 @@
         Ok(())
     }
 
-    /// The store answered, whatever it said.
+    /// Records any response of the store, including a conflict, and closes the circuit.
     pub fn on_response(&mut self) {
         self.failures = 0;
         self.last_probe = None;
     }
 
-    /// The store gave no answer or can't be reached.
+    /// Records that the store did not respond or could not be reached.
     pub fn on_failure(&mut self, now: Instant) {
         self.failures = self.failures.saturating_add(1);
         if self.failures >= FAILURE_THRESHOLD {
--- a/crates/claim/src/claim.rs
+++ b/crates/claim/src/claim.rs
@@ -1,4 +1,4 @@
-//! The owner's side of one claim.
+//! State machine of one claim at the entry that owns it.
 
 use std::time::{Duration, Instant};
 
@@ -8,71 +8,72 @@
     ClaimError, ClaimRow, ClaimState, RowChange, StoredResponse, VersionedRow, WriteOutcome,
 };
 
-/// A claim is dispatched no later than this after its write was begun.
+/// Maximum age, from the first read of its row, at which a claim may still be dispatched.
 ///
-/// Far below the shortest time that a claim is kept: an owner that was paused for so
-/// long that its row was deleted, and its key claimed anew, finds its claim too old.
+/// Far below the shortest retention of a claim: an owner that was paused until its row was
+/// deleted and its key claimed again finds its own claim too old.
 pub const MAX_CLAIM_AGE: Duration = Duration::from_secs(120);
 
 value! {
-    /// What became of a dispatch under a claim.
+    /// Outcome of a dispatch under a claim.
     pub enum DispatchOutcome {
-        /// The target refused it, or no byte left for it: certainly not run.
+        /// The target rejected the request or no byte was sent: it certainly did not run.
         NotRun,
-        /// It ran, and its whole answer has been put in the object store.
+        /// It ran, and its complete response is in the object store.
         Answered(StoredResponse),
-        /// It may have run, or its answer could not be kept.
+        /// It may have run, or its response could not be stored.
         Unknown,
     }
 
-    /// What the claim's own write allows.
+    /// What the result of writing the claim allows.
     pub enum ClaimResult {
         /// The request may be dispatched.
         Held,
-        /// Another claim is there; decide again from it.
+        /// Another claim is stored; decide again from it.
         Lost(Option<VersionedRow>),
-        /// Nothing is or will be dispatched: tell the caller `not-run` at once.
-        /// The change, if any, is to be written until it is settled.
+        /// Nothing is or will be dispatched: return `not-run` to the caller at once.
+        /// Retry writing the change, if any, until `on_written` returns `None`.
         Abandoned(Option<RowChange>),
-        /// A doubled or late word on a write that is settled: nothing changes.
+        /// A duplicate or late result of a completed write; nothing changes.
         Ignored,
     }
 }
 
 value! { copy
     enum Phase {
-        /// The write of the claim is under way.
+        /// The write of the claim is in flight.
         Claiming,
-        /// The claim is ours and nothing runs.
+        /// This entry owns the claim and nothing is running.
         Held,
-        /// Something may run.
+        /// A dispatched request may be running.
         Dispatched,
-        /// Nothing will be dispatched any more.
+        /// No further dispatch is allowed.
         Closed,
     }
 }
 
-/// One attempt's claim, at the entry that made it.
+/// The claim of one attempt, at the entry that made it.
 ///
-/// Invariant: from `Closed` no dispatch is possible, and only then is
-/// `Released` or a final state written.
+/// Invariant: no dispatch is possible in `Closed`, and `Released` or another
+/// final state is written only in `Closed`.
 #[derive(Clone, Debug)]
 pub struct Claim {
     phase: Phase,
     row: ClaimRow,
     change: RowChange,
+    /// When the request's row was first read.
     began: Instant,
 }
 
 impl Claim {
-    /// Begins with the change that [`decide`](crate::decide) asked for.
+    /// Creates a claim from the change that [`decide`](crate::decide) returned.
     ///
-    /// `began` is when the request's row was first read. A request that decides anew after
-    /// a lost claim keeps it: with the time of the last read, one that was paused
-    /// until its row was deleted would find the key free and run a second time.
+    /// `began` is when the request's row was first read, and stays the same when the request
+    /// decides again after a lost claim. With the time of the last read, a request that was
+    /// paused until the row was deleted would find the key free and run a second time.
     ///
     /// # Errors
-    /// [`ClaimError::DispatchNotPermitted`] when the change is no claim.
+    /// [`ClaimError::DispatchNotPermitted`] when the change doesn't write a claim.
     pub fn new(change: RowChange, began: Instant) -> Result<Claim, ClaimError> {
         match &change.row {
             Some(row) if row.state == ClaimState::Claimed => Ok(Claim {
@@ -85,24 +86,24 @@
         }
     }
 
-    /// The row it claims.
+    /// Key of the claimed row.
     pub fn key(&self) -> &str {
         &self.change.key
     }
 
-    /// The attempt that it makes.
+    /// Name of the attempt that made the claim.
     pub fn attempt(&self) -> &str {
         &self.row.attempt
     }
 
-    /// Takes the outcome of the claim's own write.
+    /// Handles the result of writing the claim.
     ///
-    /// A write whose answer was lost may be made now or later. The entry
-    /// abandons the attempt: it dispatches nothing, so `not-run` is true. A
-    /// stranded row would show later repeats a live owner that does nothing, so
-    /// the entry writes `Released` on the same condition: when that is
-    /// made, the lost write can't be made any more; when it fails on our own row,
-    /// it is repeated on that row's version.
+    /// A write whose response was lost may be committed now or later. The entry abandons the
+    /// attempt and dispatches nothing, so `not-run` is correct. A claim left in the table
+    /// would make later retries wait for a live owner that does nothing, so the entry writes
+    /// `Released` under the same version condition: if that commits, the lost write can no
+    /// longer commit; if it conflicts with this claim's own row, it is retried at that
+    /// row's version.
     pub fn on_claim_written(&mut self, outcome: WriteOutcome) -> ClaimResult {
         if self.phase != Phase::Claiming {
             return ClaimResult::Ignored;
@@ -110,14 +111,14 @@
         match outcome {
             WriteOutcome::Committed => {
                 self.phase = Phase::Held;
-                // Right when the row was never deleted; a wrong guess only conflicts,
-                // since our own write is known to have made a version of its own.
+                // Correct unless the row was deleted before. A wrong guess only conflicts,
+                // since the committed write has a version of its own.
                 self.change.version += 1;
                 ClaimResult::Held
             }
             WriteOutcome::Conflict(Some(current)) if current.row == self.row => {
-                // A write that was sent twice conflicts with itself: the claim is made.
-                // Taken for another's claim, it would be in progress for good.
+                // A write that was sent twice conflicts with itself, so the claim is held.
+                // Treated as another owner's claim, it would stay in progress forever.
                 self.phase = Phase::Held;
                 self.change.version = current.version;
                 ClaimResult::Held
@@ -134,11 +135,11 @@
         }
     }
 
-    /// Permits one dispatch.
+    /// Allows one dispatch.
     ///
     /// # Errors
-    /// [`ClaimError::DispatchNotPermitted`] unless the claim is held, young enough, and nothing
-    /// may be running.
+    /// [`ClaimError::DispatchNotPermitted`] unless the claim is held, is at most
+    /// [`MAX_CLAIM_AGE`] old, and nothing may be running.
     pub fn begin_dispatch(&mut self, now: Instant) -> Result<(), ClaimError> {
         let too_old = now.saturating_duration_since(self.began) > MAX_CLAIM_AGE;
         if self.phase != Phase::Held || too_old {
@@ -148,9 +149,9 @@
         Ok(())
     }
 
-    /// Takes the outcome of a dispatch; the change, if any, is to be written.
+    /// Handles the outcome of a dispatch and returns the change to write, if any.
     ///
-    /// After `NotRun` the claim is held again: dispatch elsewhere, or `release`.
+    /// After `NotRun` the claim is held again: dispatch to another target, or `release`.
     pub fn on_dispatched(&mut self, outcome: DispatchOutcome) -> Option<RowChange> {
         if self.phase != Phase::Dispatched {
             return None;
@@ -160,19 +161,19 @@
                 self.phase = Phase::Held;
                 None
             }
-            DispatchOutcome::Answered(kept) => Some(self.close(ClaimState::Answered(kept))),
+            DispatchOutcome::Answered(response) => Some(self.close(ClaimState::Answered(response))),
             DispatchOutcome::Unknown => Some(self.close(ClaimState::Unknown)),
         }
     }
 
-    /// Gives the claim up with nothing run; the caller is told `not-run`.
+    /// Releases the claim when nothing has run; the caller gets `not-run`.
     pub fn release(&mut self) -> Option<RowChange> {
         (self.phase == Phase::Held).then(|| self.close(ClaimState::Released))
     }
 
-    /// What a caller may truthfully be told now, without an answer in hand.
+    /// The outcome that may be reported to a caller now, without a response at hand.
     ///
-    /// `not-run` only once nothing can be dispatched any more.
+    /// `NotRun` only once no further dispatch is possible.
     pub fn reportable_outcome(&self) -> Outcome {
         match (self.phase, &self.row.state) {
             (Phase::Closed, ClaimState::Answered(_)) => Outcome::Answered,
@@ -181,15 +182,16 @@
         }
     }
 
-    /// Takes the outcome of writing a final state; a change given back is to be
-    /// written next (at once after a conflict, later after a failure).
+    /// Handles the result of writing a final state and returns the change to write next,
+    /// if any: at once after a conflict, after a delay on failure.
     pub fn on_written(&mut self, outcome: WriteOutcome) -> Option<RowChange> {
         match outcome {
             WriteOutcome::Committed => None,
             WriteOutcome::Unavailable | WriteOutcome::Unknown => Some(self.change.clone()),
             WriteOutcome::Conflict(current) => {
                 let current = current?;
-                if !current.row.is_attempt(&self.row) || !self.may_replace(&current.row.state) {
+                if !current.row.is_same_attempt(&self.row) || !self.may_replace(&current.row.state)
+                {
                     return None;
                 }
                 self.change.version = current.version;
@@ -198,10 +200,11 @@
         }
     }
 
-    /// A final state of ours is never replaced; a mark by others that the owner
-    /// has lapsed is, since the owner knows better.
-    fn may_replace(&self, there: &ClaimState) -> bool {
-        match there {
+    /// Whether this claim's state may overwrite the stored one. A final state that the owner
+    /// wrote is never replaced. An `Unknown` that another entry wrote after the lease expired
+    /// is, since the owner knows the real outcome.
+    fn may_replace(&self, stored: &ClaimState) -> bool {
+        match stored {
             ClaimState::Claimed => true,
             ClaimState::Unknown => self.row.state != ClaimState::Unknown,
             ClaimState::Answered(_) | ClaimState::Released => false,
--- a/crates/claim/src/decide.rs
+++ b/crates/claim/src/decide.rs
@@ -1,4 +1,4 @@
-//! What to do with a request that must run at most once, given its claim row.
+//! Decides how to handle an at-most-once request, given its claim row.
 
 use std::time::Duration;
 
@@ -8,66 +8,66 @@
 use crate::key::{ClaimKey, Fingerprint};
 use crate::row::{AttemptId, ClaimRow, ClaimState, Owner, RowChange, StoredResponse, VersionedRow};
 
-/// Shortest time after which a repeat of a running request may ask again.
-const ASK_AGAIN: Duration = Duration::from_millis(1000);
-/// Spread of that time over callers, in milliseconds.
-const ASK_AGAIN_SPREAD: u64 = 500;
+/// Shortest retry delay for a repeat of a request that is in progress.
+const IN_PROGRESS_RETRY: Duration = Duration::from_millis(1000);
+/// Jitter added to that delay, in milliseconds.
+const IN_PROGRESS_JITTER_MS: u64 = 500;
 
 value! {
-    /// A request that must run at most once, at the entry that got it.
+    /// An at-most-once request, at the entry that received it.
     pub struct ClaimRequest {
-        /// Its claim's key.
+        /// Key of its claim row.
         pub key: ClaimKey,
-        /// Its fingerprint.
+        /// Fingerprint of its method, path and body.
         pub fingerprint: Fingerprint,
-        /// This entry.
+        /// This entry, which would own the claim.
         pub owner: Owner,
-        /// Name of this attempt to claim.
+        /// Unique name of this attempt.
         pub attempt: AttemptId,
-        /// The era that the entry sees.
+        /// The era as last read by this entry.
         pub era: Era,
-        /// How long the row is kept, counted from the claim: the service's
-        /// `keep_answers`, and its `timeout` for the run itself.
+        /// How long the row is retained, counted from the claim: the service's
+        /// `keep_answers` plus its `timeout` for the run itself.
         pub retention: Duration,
     }
 
-    /// What the entry does.
+    /// What the entry does with a request.
     pub enum Decision {
-        /// Write this row; dispatch only when the write is known to be made.
+        /// Write this claim; dispatch only once the write is known to be committed.
         MakeClaim(RowChange),
-        /// Give the kept answer, after checking that it is whole.
+        /// Return the stored response, after verifying that it is complete.
         ReplayResponse(StoredResponse),
-        /// It runs, or may be about to.
+        /// The request is running or may be about to run.
         InProgress {
-            /// When to ask again.
+            /// Delay before the caller may retry.
             retry_after: Duration,
         },
-        /// It may have run; it is never run again under this key.
+        /// The request may have run; it never runs again under this key.
         ReportUnknown {
-            /// Writes that down, so that the next entry need not judge the owner.
+            /// Stores the `Unknown` state, so that later entries need not check the owner.
             update: Option<RowChange>,
         },
-        /// The key was used with another body (422).
+        /// The key was used with a different request (422).
         FingerprintMismatch,
     }
 }
 
 value! { copy
-    /// What the entry knows of the owner named in the row.
+    /// What the entry knows about the owner named in the row.
     pub enum OwnerState {
-        /// Its lease stands: it may be running the request.
+        /// The owner's lease is valid: it may be running the request.
         Alive,
-        /// Its lease has lapsed as this entry observed it, or it has started anew.
+        /// This entry observed that the owner's lease expired or that the owner restarted.
         LeaseExpired,
-        /// It is this entry, which abandoned the attempt before any dispatch.
+        /// The owner is this entry, which abandoned the attempt before any dispatch.
         Abandoned,
     }
 }
 
-/// Decides on a request, given its claim row as read just now.
+/// Decides how to handle a request, given the current claim row (`None`: absent).
 ///
-/// Whether the owner is alive changes only what the caller is told. A lapsed
-/// owner may be paused just before its dispatch, so its key is never claimed anew.
+/// Whether the owner is alive only changes what is reported to the caller. An owner with an
+/// expired lease may be paused just before its dispatch, so its key is never claimed again.
 pub fn decide(current: Option<&VersionedRow>, req: &ClaimRequest, owner: OwnerState) -> Decision {
     let Some(VersionedRow { row, version }) = current else {
         return make_claim(req, 0);
@@ -76,7 +76,7 @@
         return Decision::FingerprintMismatch;
     }
     match &row.state {
-        ClaimState::Answered(kept) => Decision::ReplayResponse(kept.clone()),
+        ClaimState::Answered(response) => Decision::ReplayResponse(response.clone()),
         ClaimState::Unknown => Decision::ReportUnknown { update: None },
         ClaimState::Released => make_claim(req, *version),
         ClaimState::Claimed => match owner {
@@ -109,8 +109,8 @@
 }
 
 fn in_progress(req: &ClaimRequest) -> Decision {
-    let spread = stable_hash([req.attempt.as_str()]) % ASK_AGAIN_SPREAD;
+    let jitter = stable_hash([req.attempt.as_str()]) % IN_PROGRESS_JITTER_MS;
     Decision::InProgress {
-        retry_after: ASK_AGAIN + Duration::from_millis(spread),
+        retry_after: IN_PROGRESS_RETRY + Duration::from_millis(jitter),
     }
 }
--- a/crates/claim/src/era.rs
+++ b/crates/claim/src/era.rs
@@ -1,9 +1,9 @@
-//! How long claims are kept, without trusting any wall clock.
+//! Retention of claims in eras, which depend on no wall clock.
 //!
-//! One row of the table holds the era, a counter. Any node advances it by
-//! one when it has itself seen the row unchanged for [`ERA_LENGTH`] on its
-//! monotonic clock. An era is thus never shorter than that, whatever the
-//! clocks, pauses and deaths; it is longer when no node lives long enough.
+//! The era is a counter in one row of the table. A node increments it after it has
+//! seen the row unchanged for [`ERA_LENGTH`] on its own monotonic clock. An era is
+//! thus never shorter than that, whatever the clock errors, pauses and crashes; it
+//! is longer while no node stays up that long.
 
 use std::time::{Duration, Instant};
 
@@ -21,19 +21,19 @@
 /// Shortest length of an era.
 pub const ERA_LENGTH: Duration = Duration::from_secs(600);
 
-/// One era for the one already begun, one for an era read from the table a while ago.
-const STARTED_ERAS: Era = 2;
+/// Margin of one era for the one already begun and one for a stale read of the era.
+const ERA_MARGIN: Era = 2;
 
 /// The first era in which a claim written in `era` may be deleted.
 pub(crate) fn expiry(era: Era, retention: Duration) -> Era {
     let whole_eras = retention.as_secs().div_ceil(ERA_LENGTH.as_secs());
-    era + whole_eras + STARTED_ERAS
+    era + whole_eras + ERA_MARGIN
 }
 
 value! { copy
     /// A conditional write of the era row.
     pub struct EraChange {
-        /// The version the row must have; 0 for absent.
+        /// Version the row must have; 0 if absent.
         pub version: RowVersion,
         /// The new era.
         pub era: Era,
@@ -45,7 +45,8 @@
 pub struct EraClock {
     era: Era,
     version: RowVersion,
-    seen_since: Option<Instant>,
+    /// When the first read that returned this version began; `None` before any read.
+    observed_since: Option<Instant>,
 }
 
 impl EraClock {
@@ -54,30 +55,30 @@
         self.era
     }
 
-    /// Takes the era row as read; `read_at` is when the read began.
+    /// Records the era row as read; `read_at` is when the read began.
     ///
     /// An absent row is era 0 at version 0.
     pub fn observe(&mut self, era: Era, version: RowVersion, read_at: Instant) {
-        if self.seen_since.is_none() || self.version != version {
+        if self.observed_since.is_none() || self.version != version {
             self.era = era;
             self.version = version;
-            self.seen_since = Some(read_at);
+            self.observed_since = Some(read_at);
         }
     }
 
-    /// The change that begins the next era, once this one has lasted.
+    /// Returns the change that begins the next era, once this one has lasted [`ERA_LENGTH`].
     pub fn advance(&self, now: Instant) -> Option<EraChange> {
-        let since = self.seen_since?;
-        let lasted = now.saturating_duration_since(since) >= ERA_LENGTH;
-        lasted.then_some(EraChange {
+        let since = self.observed_since?;
+        let elapsed = now.saturating_duration_since(since) >= ERA_LENGTH;
+        elapsed.then_some(EraChange {
             version: self.version,
             era: self.era + 1,
         })
     }
 
-    /// The deletion of a row whose time is over.
+    /// Returns the deletion of a row whose retention has expired.
     ///
-    /// A claim of a live owner stays: its request may still be running, and
+    /// A claim of a live owner is retained: its request may still be running, and
     /// a repeat would run it a second time.
     pub fn sweep(
         &self,
@@ -86,8 +87,8 @@
         owner: OwnerState,
     ) -> Option<RowChange> {
         let running = current.row.state == ClaimState::Claimed && owner == OwnerState::Alive;
-        let over = current.row.expires <= self.era && !running;
-        over.then(|| RowChange {
+        let expired = current.row.expires <= self.era && !running;
+        expired.then(|| RowChange {
             key: key.clone(),
             version: current.version,
             row: None,
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,8 +1,8 @@
-//! Requests that run at most once: claims, their settlement and the answers kept for repeats.
+//! At-most-once requests: claims, their final states and the responses stored for repeats.
 //!
-//! An entry writes a claim row before it dispatches, and dispatches only when
-//! the write is known to be made. A key is claimed anew only after its owner
-//! wrote that nothing ran. Everything else is about telling callers the truth.
+//! An entry writes a claim row before it dispatches, and dispatches only once the
+//! write is known to be committed. A key can be claimed again only after its owner
+//! wrote that nothing ran. All other states only determine the outcome that callers get.
 
 mod batch;
 mod circuit_breaker;
--- a/crates/claim/src/row.rs
+++ b/crates/claim/src/row.rs
@@ -1,4 +1,4 @@
-//! The claim row in the table service.
+//! Claim rows in the table service.
 
 use eelgrassmill_base::{Incarnation, NodeId, RowVersion, value};
 use smol_str::SmolStr;
@@ -6,132 +6,133 @@
 use crate::era::Era;
 use crate::key::{ClaimKey, Fingerprint, sha256};
 
-/// Names one attempt to claim, unique over all nodes and time; a request that decides
-/// anew after a lost claim takes a new one.
+/// Name of one attempt to claim, unique across all nodes and time. A request that decides
+/// again after a lost claim uses a new one.
 pub type AttemptId = SmolStr;
 
 value! { wire
-    /// One start of one node.
+    /// One incarnation of a node.
     pub struct Owner {
         /// The node.
         pub node: NodeId,
-        /// Its start. A node that restarted owns nothing of what it owned before.
+        /// Its incarnation. A restarted node no longer owns its earlier claims.
         pub incarnation: Incarnation,
     }
 
-    /// Where the whole answer of a claimed request is kept.
+    /// Location and checksum of the complete response to a claimed request.
     pub struct StoredResponse {
-        /// Its key in the object store.
+        /// Key in the object store.
         pub object: SmolStr,
-        /// Its HTTP status.
+        /// HTTP status.
         pub status: u16,
-        /// Its `content-type`.
+        /// Value of the `content-type` header.
         pub content_type: SmolStr,
-        /// Length of its body in bytes.
+        /// Body length in bytes.
         pub length: u64,
-        /// SHA-256 of its body, so that a truncated object is never taken for the answer.
+        /// SHA-256 of the body, so that a truncated object is never replayed.
         pub sha256: SmolStr,
     }
 
-    /// What is known of a claimed request.
+    /// State of a claimed request.
     #[serde(rename_all = "kebab-case")]
     pub enum ClaimState {
-        /// Its owner may dispatch it, or has done so.
+        /// The owner may dispatch it or has done so.
         Claimed,
-        /// It ran, and its answer is kept.
+        /// It ran, and its response is stored.
         Answered(StoredResponse),
-        /// It may have run; nobody can tell.
+        /// It may have run; the outcome can't be determined.
         Unknown,
-        /// It was not run and its attempt never will be: the key may be claimed anew.
+        /// The attempt did not run and never will: the key may be claimed again.
         Released,
     }
 
     /// The value of one claim row.
     ///
-    /// Invariants: only the owner of the attempt writes `Answered` and
-    /// `Released`; it writes `Released` only when it dispatches nothing more
-    /// under the attempt; anyone may write `Unknown` once the owner has lapsed.
+    /// Invariants: only the owner of the attempt writes `Answered` and `Released`;
+    /// it writes `Released` only once it dispatches nothing more under the attempt;
+    /// any entry may write `Unknown` once the owner's lease has expired.
     pub struct ClaimRow {
-        /// Of the request that made the claim.
+        /// Fingerprint of the request that made the claim.
         pub fingerprint: Fingerprint,
-        /// Who claimed it.
+        /// The node that made the claim.
         pub owner: Owner,
-        /// The attempt that claimed it.
+        /// The attempt that made the claim.
         pub attempt: AttemptId,
         /// First era in which the row may be deleted.
         pub expires: Era,
-        /// What is known.
+        /// State of the request.
         pub state: ClaimState,
     }
 
-    /// A row as read.
+    /// A claim row as read, with its version.
     pub struct VersionedRow {
-        /// Its value.
+        /// Value of the row.
         pub row: ClaimRow,
-        /// Its version.
+        /// Version of the row.
         pub version: RowVersion,
     }
 
     /// One conditional write of one claim row.
     pub struct RowChange {
-        /// The row.
+        /// Key of the row.
         pub key: ClaimKey,
-        /// The version it must have; 0 for absent.
+        /// Version the row must have; 0 if absent.
         pub version: RowVersion,
-        /// Its new value; `None` deletes it.
+        /// New value; `None` deletes the row.
         pub row: Option<ClaimRow>,
     }
 }
 
 value! {
-    /// What became of one row change.
+    /// Outcome of one row change.
     pub enum WriteOutcome {
-        /// It was made.
+        /// It was committed.
         Committed,
-        /// It was not made, since the row is this one (`None`: absent).
+        /// It was not committed, since the stored row is this one (`None`: absent).
         Conflict(Option<VersionedRow>),
-        /// It certainly had no effect.
+        /// The store was unavailable; the change certainly had no effect.
         Unavailable,
-        /// It may have been made, or may be made later.
+        /// It may have been committed or may be committed later.
         Unknown,
     }
 }
 
-/// Why a claim row or kept answer can't be used.
+/// Why a claim row or stored response can't be used.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ClaimError {
-    /// The row's value isn't a claim.
-    #[error("claim row can't be read: {0}")]
+    /// The row's value isn't a valid claim.
+    #[error("invalid claim row: {0}")]
     Decode(String),
-    /// The claim can't be written as JSON.
-    #[error("claim row can't be written: {0}")]
+    /// The claim can't be encoded as JSON.
+    #[error("failed to encode claim row: {0}")]
     Encode(String),
-    /// The object isn't the whole answer that was kept.
-    #[error("kept answer {0} is not whole")]
+    /// The object isn't the complete response that was stored.
+    #[error("stored response {0} is incomplete or corrupt")]
     BodyMismatch(SmolStr),
-    /// The claim is not one under which a request may be dispatched now.
+    /// The claim doesn't permit a dispatch now.
     #[error("claim does not permit a dispatch")]
     DispatchNotPermitted,
 }
 
 impl ClaimRow {
-    /// Reads a row's value.
+    /// Decodes a row's value from JSON.
     ///
     /// # Errors
-    /// [`ClaimError::Decode`] when it isn't a claim. Nothing may be dispatched then.
+    /// [`ClaimError::Decode`] when the value isn't a claim. Nothing may be dispatched then.
     pub fn decode(value: &str) -> Result<ClaimRow, ClaimError> {
         serde_json::from_str(value).map_err(|e| ClaimError::Decode(e.to_string()))
     }
 
-    /// Writes the row's value.
+    /// Encodes the row's value as JSON.
     ///
     /// # Errors
-    /// [`ClaimError::Encode`] when it can't be written as JSON.
+    /// [`ClaimError::Encode`] when the row can't be encoded.
     pub fn encode(&self) -> Result<String, ClaimError> {
         serde_json::to_string(self).map_err(|e| ClaimError::Encode(e.to_string()))
     }
 
-    pub(crate) fn is_attempt(&self, other: &ClaimRow) -> bool {
+    /// Whether both rows belong to the same attempt of the same owner.
+    pub(crate) fn is_same_attempt(&self, other: &ClaimRow) -> bool {
         self.owner == other.owner && self.attempt == other.attempt
     }
 
@@ -144,7 +145,7 @@
 }
 
 impl StoredResponse {
-    /// Describes an answer that is to be put at `object`.
+    /// Describes a response that is about to be stored under the key `object`.
     pub fn new(
         object: impl Into<SmolStr>,
         status: u16,
@@ -160,10 +161,10 @@
         }
     }
 
-    /// Checks that `body` is the whole answer.
+    /// Verifies that `body` is the complete response.
     ///
     /// # Errors
-    /// [`ClaimError::BodyMismatch`] when it is another or a part of it.
+    /// [`ClaimError::BodyMismatch`] when its length or checksum differs.
     pub fn verify(&self, body: &[u8]) -> Result<(), ClaimError> {
         if body.len() as u64 == self.length && sha256(body) == self.sha256 {
             return Ok(());
