--- a/crates/claim/tests/claims.rs
+++ b/crates/claim/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims, batches, retention and the store's outages, one rule at a time.
+//! Tests of claims, batches, retention and the circuit breaker.
 
 use std::time::{Duration, Instant};
 
@@ -21,16 +21,16 @@
     }
 }
 
-fn claim_of(decision: Decision) -> RowChange {
+fn claim_change(decision: Decision) -> RowChange {
     match decision {
         Decision::MakeClaim(change) => change,
-        other => panic!("no claim: {other:?}"),
+        other => panic!("expected MakeClaim, got {other:?}"),
     }
 }
 
 fn versioned(change: &RowChange, version: u64) -> VersionedRow {
     VersionedRow {
-        row: change.row.clone().expect("a row"),
+        row: change.row.clone().expect("change writes a row"),
         version,
     }
 }
@@ -42,11 +42,11 @@
     }
 }
 
-/// A caller uses one key for two different notices by mistake. Without the check it
-/// would take the first notice's answer for the second's.
+/// A caller uses one key for two different requests by mistake. Without the check it
+/// would get the first request's response to the second.
 #[googletest::test]
-fn another_body_under_the_same_key_is_refused() {
-    let first = claim_of(decide(
+fn different_request_under_the_same_key_is_rejected() {
+    let first = claim_change(decide(
         None,
         &request("k", b"notice A", "1"),
         OwnerState::Alive,
@@ -63,13 +63,13 @@
     );
 }
 
-/// The table client sends a transaction twice; the second copy conflicts with the
-/// first. Taken for someone else's claim, the key would be in progress for good.
+/// The table client sends a transaction twice, and the second copy conflicts with the
+/// first. Treated as another owner's claim, the key would stay in progress forever.
 #[googletest::test]
-fn a_write_that_conflicts_with_itself_is_held() {
+fn claim_write_that_conflicts_with_itself_is_held() {
     let now = Instant::now();
-    let change = claim_of(decide(None, &request("k", b"", "1"), OwnerState::Alive));
-    let mut claim = Claim::new(change.clone(), now).expect("a claim");
+    let change = claim_change(decide(None, &request("k", b"", "1"), OwnerState::Alive));
+    let mut claim = Claim::new(change.clone(), now).expect("change writes a claim");
     let outcome = WriteOutcome::Conflict(Some(versioned(&change, 4)));
     expect_that!(
         claim.on_claim_written(outcome.clone()),
@@ -80,13 +80,13 @@
     expect_that!(claim.begin_dispatch(now), err(anything()));
 }
 
-/// An entry is paused between its claim and the dispatch for longer than claims are
-/// kept, and the key has been claimed anew meanwhile. It must not dispatch any more.
+/// An entry is paused between claim and dispatch for longer than the retention, and the
+/// key has been claimed again meanwhile. The entry must not dispatch.
 #[googletest::test]
-fn a_claim_held_too_long_is_not_dispatched() {
+fn claim_past_its_maximum_age_is_not_dispatched() {
     let now = Instant::now();
-    let change = claim_of(decide(None, &request("k", b"", "1"), OwnerState::Alive));
-    let mut claim = Claim::new(change, now).expect("a claim");
+    let change = claim_change(decide(None, &request("k", b"", "1"), OwnerState::Alive));
+    let mut claim = Claim::new(change, now).expect("change writes a claim");
     claim.on_claim_written(WriteOutcome::Committed);
     expect_that!(MAX_CLAIM_AGE, lt(ERA_LENGTH));
     expect_that!(
@@ -96,25 +96,25 @@
     expect_that!(claim.release(), some(anything()));
 }
 
-/// The object store gives back half of an answer. The caller must be told that the
-/// answer is lost, never be given the half.
+/// The object store returns a truncated response. Verification must fail, so that the
+/// caller gets an error and never the partial body.
 #[googletest::test]
-fn a_truncated_answer_is_not_replayed() {
-    let kept = StoredResponse::new("claim/x", 200, "text/plain", b"the whole answer");
-    expect_that!(kept.verify(b"the whole answer"), ok(anything()));
-    expect_that!(kept.verify(b"the whole"), err(anything()));
-    expect_that!(kept.verify(b"the whole answeR"), err(anything()));
+fn truncated_response_is_not_replayed() {
+    let stored = StoredResponse::new("claim/x", 200, "text/plain", b"the whole answer");
+    expect_that!(stored.verify(b"the whole answer"), ok(anything()));
+    expect_that!(stored.verify(b"the whole"), err(anything()));
+    expect_that!(stored.verify(b"the whole answeR"), err(anything()));
 }
 
-/// Two entries claim one key in the same instant, each in a batch with other callers'
-/// claims. Only the loser's own caller may notice.
+/// Two entries claim one key concurrently, each in a batch with other callers' claims.
+/// Only the lost claim may fail; the rest of its batch is retried.
 #[googletest::test]
 fn one_lost_claim_does_not_fail_its_batch() {
     let now = Instant::now();
     let mut batcher = ClaimBatcher::new(3, Duration::from_millis(3));
     let claims: Vec<RowChange> = (0..3)
         .map(|i| {
-            claim_of(decide(
+            claim_change(decide(
                 None,
                 &request(&i.to_string(), b"", "1"),
                 OwnerState::Alive,
@@ -140,13 +140,13 @@
     expect_that!(split.retry[0].changes.len(), eq(2));
 }
 
-/// A row of a batch was deleted meanwhile; the conflict doesn't name absent rows.
-/// Trying the same batch again would conflict for ever.
+/// A row of a batch was deleted concurrently, and the conflict doesn't list absent rows.
+/// Retrying the same batch would conflict forever.
 #[googletest::test]
-fn a_conflict_with_an_absent_row_ends() {
-    let mut change = claim_of(decide(None, &request("k", b"", "1"), OwnerState::Alive));
+fn conflict_with_an_absent_row_terminates() {
+    let mut change = claim_change(decide(None, &request("k", b"", "1"), OwnerState::Alive));
     change.version = 9;
-    let other = claim_of(decide(None, &request("l", b"", "1"), OwnerState::Alive));
+    let other = claim_change(decide(None, &request("l", b"", "1"), OwnerState::Alive));
     let split = Batch {
         changes: vec![change, other],
     }
@@ -160,10 +160,10 @@
     }
 }
 
-/// Nodes come and go and trust no clock. A key is kept for its time at least, counted
-/// in eras that each node must have watched in full, and a running one for longer.
+/// A claim is retained for at least its retention time, counted in eras that a node must
+/// have observed in full, and for longer while its owner may be running it.
 #[googletest::test]
-fn a_key_is_kept_for_its_time_at_least() {
+fn claims_are_retained_for_at_least_the_retention_time() {
     let start = Instant::now();
     let mut clock = EraClock::default();
     clock.observe(7, 3, start);
@@ -175,50 +175,51 @@
     let change = clock.advance(start + ERA_LENGTH);
     expect_that!(change, some(eq(EraChange { version: 3, era: 8 })));
     let req = request("k", b"", "1");
-    let there = versioned(&claim_of(decide(None, &req, OwnerState::Alive)), 1);
+    let current = versioned(&claim_change(decide(None, &req, OwnerState::Alive)), 1);
     let eras = (7..).take_while(|era| {
         clock.observe(*era, *era, start);
         clock
-            .sweep(&req.key, &there, OwnerState::LeaseExpired)
+            .sweep(&req.key, &current, OwnerState::LeaseExpired)
             .is_none()
     });
-    let whole = eras.count() as u32 - 1;
-    expect_that!(ERA_LENGTH * whole, ge(RETENTION));
+    let whole_eras = eras.count() as u32 - 1;
+    expect_that!(ERA_LENGTH * whole_eras, ge(RETENTION));
     clock.observe(1000, 1000, start);
-    expect_that!(clock.sweep(&req.key, &there, OwnerState::Alive), none());
+    expect_that!(clock.sweep(&req.key, &current, OwnerState::Alive), none());
 }
 
-/// The table service is down for an hour. Calls that must run at most once are refused
-/// at once with a time to come back, not after a time-out each; one a second tries.
+/// The table service is down for an hour. At-most-once calls are rejected at once with a
+/// retry delay instead of each waiting for a timeout; one call a second is a probe.
 #[googletest::test]
-fn an_outage_refuses_at_once() {
+fn outage_rejects_at_once() {
     let mut now = Instant::now();
     let mut breaker = StoreCircuitBreaker::new(1);
-    let (mut tried, mut refused) = (0, 0);
+    let (mut admitted, mut rejected) = (0, 0);
     for _ in 0..36_000 {
         now += Duration::from_millis(100);
         match breaker.admit(now) {
             Ok(()) => {
-                tried += 1;
+                admitted += 1;
                 breaker.on_failure(now);
             }
-            Err(down) => {
-                refused += 1;
-                expect_that!(down.retry_after, ge(Duration::from_secs(5)));
+            Err(unavailable) => {
+                rejected += 1;
+                expect_that!(unavailable.retry_after, ge(Duration::from_secs(5)));
             }
         }
     }
-    expect_that!(tried, le(3605));
-    expect_that!(tried + refused, eq(36_000));
+    expect_that!(admitted, le(3605));
+    expect_that!(admitted + rejected, eq(36_000));
     breaker.on_response();
     expect_that!(breaker.admit(now), ok(anything()));
 }
 
-/// Another version of the program, or a broken write, left a row that can't be read.
+/// Rows keep their stored format, and a row that another version or a failed write left
+/// undecodable is an error.
 #[googletest::test]
 fn rows_survive_the_round_trip() {
-    let row = claim_of(decide(None, &request("k", b"", "1"), OwnerState::Alive)).row;
-    let row = row.expect("a row");
+    let row = claim_change(decide(None, &request("k", b"", "1"), OwnerState::Alive)).row;
+    let row = row.expect("change writes a row");
     let text = row.encode().expect("JSON");
     expect_that!(ClaimRow::decode(&text), ok(eq(&row)));
     expect_that!(ClaimRow::decode("{}"), err(anything()));
--- a/crates/claim/tests/fuzz/main.rs
+++ b/crates/claim/tests/fuzz/main.rs
@@ -1,4 +1,4 @@
-//! Stateful fuzz of at-most-once calls: the oracle counts runs at the targets.
+//! Stateful fuzz test of at-most-once calls that counts the runs at the targets.
 
 mod store;
 mod world;
@@ -9,28 +9,46 @@
 use proptest::test_runner::RngSeed;
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest, prop_state_machine};
 
-use crate::world::{ENTRIES, Told, World};
+use crate::world::{ENTRIES, Reported, World};
 
-/// Number of cases for a longer run.
-const CASES: &str = "EELGRASSMILL_FUZZ_CASES";
+/// Environment variable with the number of cases.
+const CASES_VAR: &str = "EELGRASSMILL_FUZZ_CASES";
 const SEED: u64 = 0x0c1a_1115;
 
 #[derive(Clone, Debug)]
 enum Step {
-    Submit { entry: usize, key: usize, body: u8 },
-    Tick { millis: u64 },
-    Deliver { at: usize, keep: bool, refuse: bool },
-    Lose { at: usize },
-    TimeOut { call: usize },
-    Kill { entry: usize },
+    Submit {
+        entry: usize,
+        key: usize,
+        body: u8,
+    },
+    Tick {
+        millis: u64,
+    },
+    Deliver {
+        at: usize,
+        duplicate: bool,
+        reject: bool,
+    },
+    Drop {
+        at: usize,
+    },
+    TimeOut {
+        call: usize,
+    },
+    Kill {
+        entry: usize,
+    },
     Sweep,
-    SeemLapsed { entry: usize },
+    SeemExpired {
+        entry: usize,
+    },
 }
 
-/// Steps need no model of their own: each is valid at any time.
-struct Plan;
+/// The steps need no reference model: each is valid at any time.
+struct StepSequence;
 
-impl ReferenceStateMachine for Plan {
+impl ReferenceStateMachine for StepSequence {
     type State = ();
     type Transition = Step;
 
@@ -46,12 +64,12 @@
             8 => prop_oneof![9 => 1..20u64, 1 => 1000..9000u64]
                 .prop_map(|millis| Step::Tick { millis }),
             20 => (0..64usize, prop::bool::weighted(0.1), prop::bool::weighted(0.3))
-                .prop_map(|(at, keep, refuse)| Step::Deliver { at, keep, refuse }),
-            1 => (0..64usize).prop_map(|at| Step::Lose { at }),
+                .prop_map(|(at, duplicate, reject)| Step::Deliver { at, duplicate, reject }),
+            1 => (0..64usize).prop_map(|at| Step::Drop { at }),
             3 => (0..64usize).prop_map(|call| Step::TimeOut { call }),
             1 => entry.clone().prop_map(|entry| Step::Kill { entry }),
             1 => Just(Step::Sweep),
-            1 => entry.prop_map(|entry| Step::SeemLapsed { entry }),
+            1 => entry.prop_map(|entry| Step::SeemExpired { entry }),
         ]
         .boxed()
     }
@@ -63,7 +81,7 @@
 
 impl StateMachineTest for Fuzz {
     type SystemUnderTest = World;
-    type Reference = Plan;
+    type Reference = StepSequence;
 
     fn init_test(_: &()) -> World {
         World::new()
@@ -75,41 +93,45 @@
         match step {
             Step::Submit { entry, key, body } => world.submit(entry, key, body),
             Step::Tick { millis } => world.tick(millis),
-            Step::Deliver { at, keep, refuse } if messages > 0 => {
-                // A target sees each connection's request once; only answers and
-                // writes are doubled.
+            Step::Deliver {
+                at,
+                duplicate,
+                reject,
+            } if messages > 0 => {
+                // A target receives each connection's request once; only responses and
+                // writes are duplicated.
                 let at = at % messages;
                 let request = matches!(world.messages[at], world::Message::Request { .. });
-                world.deliver(at, keep && !request, refuse);
+                world.deliver(at, duplicate && !request, reject);
             }
-            Step::Lose { at } if messages > 0 => {
+            Step::Drop { at } if messages > 0 => {
                 world.messages.remove(at % messages);
             }
             Step::TimeOut { call } if calls > 0 => world.time_out(call % calls),
             Step::Kill { entry } => world.kill(entry),
             Step::Sweep => world.sweep(),
-            Step::SeemLapsed { entry } => world.seem_lapsed(entry),
+            Step::SeemExpired { entry } => world.seem_expired(entry),
             _ => (),
         }
         world
     }
 
     fn check_invariants(world: &World, _: &()) {
-        // A key that is older than it was kept for is a new request.
+        // A key that is used after its retention is a new request.
         let mut runs: BTreeMap<(usize, u32), u32> = BTreeMap::new();
         for run in &world.runs {
             *runs.entry((run.key, run.generation)).or_default() += 1;
         }
         assert!(runs.values().all(|n| *n <= 1), "a key ran twice: {runs:?}");
         for call in &world.calls {
-            match &call.told {
-                Some(Told::NotRun) => assert_eq!(call.runs, 0, "false not-run: {call:?}"),
-                Some(Told::Answer(run)) => {
+            match &call.reported {
+                Some(Reported::NotRun) => assert_eq!(call.runs, 0, "false not-run: {call:?}"),
+                Some(Reported::Response(run)) => {
                     let ran = world.runs[*run as usize - 1];
                     assert_eq!(
                         (ran.key, ran.body),
                         (call.key, call.body),
-                        "someone else's answer: {call:?}"
+                        "response of another request: {call:?}"
                     );
                 }
                 _ => (),
@@ -119,7 +141,7 @@
 }
 
 fn config() -> ProptestConfig {
-    let cases = std::env::var(CASES).ok().and_then(|n| n.parse().ok());
+    let cases = std::env::var(CASES_VAR).ok().and_then(|n| n.parse().ok());
     ProptestConfig {
         cases: cases.unwrap_or(1000),
         rng_seed: RngSeed::Fixed(SEED),
@@ -132,9 +154,9 @@
 prop_state_machine! {
     #![proptest_config(config())]
 
-    /// Callers send the same refund to two entries, while answers of the store
-    /// and the targets come late, twice or never and entries die. The refund runs
-    /// at most once, and nobody is told "not run" of one that ran.
+    /// Callers send the same request to two entries, while responses of the store and the
+    /// targets are delayed, duplicated or lost and entries crash. The request runs at most
+    /// once, and `not-run` is never reported for one that ran.
     #[test]
     fn no_double_run_and_no_false_not_run(sequential 1..120 => Fuzz);
 }
--- a/crates/claim/tests/fuzz/store.rs
+++ b/crates/claim/tests/fuzz/store.rs
@@ -1,4 +1,4 @@
-//! A table service that the fuzz can make late, lossy and doubled.
+//! In-memory table service for the fuzz test.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct Store {
-    /// Versions go on over deletions.
+    /// Versions continue across deletions.
     rows: BTreeMap<ClaimKey, (u64, Option<ClaimRow>)>,
 }
 
@@ -20,23 +20,23 @@
         self.rows.keys().cloned().collect()
     }
 
-    /// Makes all changes, or none and names the rows there whose condition failed.
+    /// Commits all changes, or none and returns the existing rows whose condition failed.
     pub(crate) fn commit(&mut self, batch: &Batch) -> Result<(), Vec<ConflictRow>> {
         let failed = |key: &ClaimKey, version| self.read(key).map_or(0, |s| s.version) != version;
-        let lost: Vec<_> = batch
+        let conflicts: Vec<_> = batch
             .changes
             .iter()
             .filter(|c| failed(&c.key, c.version))
             .collect();
-        if !lost.is_empty() {
-            let there = lost.iter().filter_map(|c| {
+        if !conflicts.is_empty() {
+            let existing = conflicts.iter().filter_map(|c| {
                 let current = self.read(&c.key)?;
                 Some(ConflictRow {
                     key: c.key.clone(),
                     current,
                 })
             });
-            return Err(there.collect());
+            return Err(existing.collect());
         }
         for change in &batch.changes {
             let (version, row) = self.rows.entry(change.key.clone()).or_default();
--- a/crates/claim/tests/fuzz/world.rs
+++ b/crates/claim/tests/fuzz/world.rs
@@ -1,4 +1,4 @@
-//! Callers, entries, targets and a store around the real queue, claims and retries.
+//! Simulated callers, entries, targets and store around the real queue, claims and retries.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -13,13 +13,13 @@
 const TENANT: &str = "lindach";
 const RETENTION: Duration = Duration::from_secs(3600);
 
-/// What a caller was told of one call.
+/// What was reported to the caller of one call.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Told {
+pub(crate) enum Reported {
     NotRun,
     Unknown,
-    /// The answer of the run with this number.
-    Answer(u64),
+    /// The response of the run with this number.
+    Response(u64),
     InProgress,
     Mismatch,
 }
@@ -37,19 +37,19 @@
     incarnation: u64,
     pub(crate) key: usize,
     pub(crate) body: u8,
-    /// Keys were kept for their time this often before it came.
+    /// Retention periods that had passed when the call arrived.
     pub(crate) generation: u32,
     began: Instant,
     claim: Option<Claim>,
     abandoned: bool,
     attempts: u32,
     tries: u32,
-    /// A step of it is under way, and this is which one.
+    /// The step in progress, if any.
     awaits: Option<u32>,
     steps: u32,
-    /// Runs at targets on behalf of this call.
+    /// Runs at targets for this call.
     pub(crate) runs: u32,
-    pub(crate) told: Option<Told>,
+    pub(crate) reported: Option<Reported>,
 }
 
 #[derive(Clone, Debug)]
@@ -63,7 +63,7 @@
         entry: usize,
         incarnation: u64,
         batch: Batch,
-        lost: Option<Vec<ConflictRow>>,
+        conflicts: Option<Vec<ConflictRow>>,
     },
     Request {
         call: usize,
@@ -91,9 +91,9 @@
     entries: Vec<Entry>,
     pub(crate) calls: Vec<Call>,
     pub(crate) messages: Vec<Message>,
-    /// Owners that observers take for lapsed.
-    lapsed: BTreeSet<(usize, u64)>,
-    /// Every run, in order.
+    /// Entries and incarnations whose leases observers take as expired.
+    expired_leases: BTreeSet<(usize, u64)>,
+    /// All runs, in order.
     pub(crate) runs: Vec<Run>,
     generation: u32,
 }
@@ -117,7 +117,7 @@
             entries: (0..ENTRIES).map(|_| Entry::new(1)).collect(),
             calls: Vec::new(),
             messages: Vec::new(),
-            lapsed: BTreeSet::new(),
+            expired_leases: BTreeSet::new(),
             runs: Vec::new(),
             generation: 0,
         }
@@ -127,7 +127,7 @@
         let call = self.calls.len();
         let at = &mut self.entries[entry];
         at.budget.deposit(&TENANT.into());
-        let offer = AdmissionRequest {
+        let admission = AdmissionRequest {
             tenant: TENANT.into(),
             weight: 1,
             urgency: Urgency::DEFAULT,
@@ -135,7 +135,7 @@
             deadline: self.now + Duration::from_secs(20),
             max_tenant_queue: 4,
         };
-        let refused = at.queue.admit(offer, call, self.now).is_err();
+        let rejected = at.queue.admit(admission, call, self.now).is_err();
         self.calls.push(Call {
             entry,
             incarnation: at.incarnation,
@@ -150,16 +150,16 @@
             awaits: None,
             steps: 0,
             runs: 0,
-            told: refused.then_some(Told::NotRun),
+            reported: rejected.then_some(Reported::NotRun),
         });
     }
 
-    /// Lets time pass and every entry do what is due.
+    /// Advances the clock and runs what is due at every entry.
     pub(crate) fn tick(&mut self, millis: u64) {
         self.now += Duration::from_millis(millis);
         for entry in 0..ENTRIES {
             for (call, _) in self.entries[entry].queue.take_refused(self.now) {
-                self.calls[call].told = Some(Told::NotRun);
+                self.calls[call].reported = Some(Reported::NotRun);
             }
             let free = Slots {
                 normal: 1,
@@ -203,27 +203,31 @@
         let owner = current.as_ref().map_or(OwnerState::Alive, |s| {
             self.owner_state(&s.row, Some(&req.owner))
         });
-        let told = match decide(current.as_ref(), &req, owner) {
+        let reported = match decide(current.as_ref(), &req, owner) {
             Decision::MakeClaim(change) => return self.claim(i, change),
-            Decision::ReplayResponse(kept) => Told::Answer(kept.length),
-            Decision::InProgress { .. } => Told::InProgress,
+            Decision::ReplayResponse(stored) => Reported::Response(stored.length),
+            Decision::InProgress { .. } => Reported::InProgress,
             Decision::ReportUnknown { update } => {
                 let entry = self.calls[i].entry;
                 update.into_iter().for_each(|c| self.write(entry, c));
-                Told::Unknown
+                Reported::Unknown
             }
-            Decision::FingerprintMismatch => Told::Mismatch,
+            Decision::FingerprintMismatch => Reported::Mismatch,
         };
-        self.calls[i].told = Some(told);
+        self.calls[i].reported = Some(reported);
     }
 
     fn owner_state(&self, row: &ClaimRow, me: Option<&Owner>) -> OwnerState {
-        let call = &self.calls[call_of(row)];
+        let call = &self.calls[call_index(row)];
         if Some(&row.owner) == me && call.abandoned {
             return OwnerState::Abandoned;
         }
         let dead = call.incarnation != self.entries[call.entry].incarnation;
-        match dead || self.lapsed.contains(&(call.entry, call.incarnation)) {
+        match dead
+            || self
+                .expired_leases
+                .contains(&(call.entry, call.incarnation))
+        {
             true => OwnerState::LeaseExpired,
             false => OwnerState::Alive,
         }
@@ -231,7 +235,7 @@
 
     fn claim(&mut self, i: usize, change: RowChange) {
         let call = &mut self.calls[i];
-        call.claim = Some(Claim::new(change.clone(), call.began).expect("a claim"));
+        call.claim = Some(Claim::new(change.clone(), call.began).expect("change writes a claim"));
         call.awaits = Some(call.steps);
         match self.entries[call.entry].batcher.push(change, self.now) {
             Ok(None) => (),
@@ -239,7 +243,7 @@
             Err(KeyBusy) => {
                 self.calls[i].claim = None;
                 self.calls[i].awaits = None;
-                self.calls[i].told = Some(Told::InProgress);
+                self.calls[i].reported = Some(Reported::InProgress);
             }
         }
     }
@@ -253,9 +257,10 @@
         );
     }
 
-    /// Delivers one message; `refuse` makes a target refuse without running.
-    pub(crate) fn deliver(&mut self, at: usize, keep: bool, refuse: bool) {
-        let message = match keep {
+    /// Delivers one message. `duplicate` leaves a copy in flight; `reject` makes a target reject
+    /// the request without running it.
+    pub(crate) fn deliver(&mut self, at: usize, duplicate: bool, reject: bool) {
+        let message = match duplicate {
             true => self.messages[at].clone(),
             false => self.messages.remove(at),
         };
@@ -265,29 +270,29 @@
                 incarnation,
                 batch,
             } => {
-                let lost = self.store.commit(&batch).err();
+                let conflicts = self.store.commit(&batch).err();
                 self.messages.push(Message::Written {
                     entry,
                     incarnation,
                     batch,
-                    lost,
+                    conflicts,
                 });
             }
             Message::Written {
                 entry,
                 incarnation,
                 batch,
-                lost,
+                conflicts,
             } => {
                 if self.entries[entry].incarnation == incarnation {
-                    self.written(entry, batch, lost);
+                    self.on_batch_written(entry, batch, conflicts);
                 }
             }
             Message::Request { call, step } => {
-                let ran = (!refuse).then(|| self.run(call));
+                let ran = (!reject).then(|| self.run(call));
                 self.messages.push(Message::Reply { call, step, ran });
             }
-            Message::Reply { call, step, ran } => self.replied(call, step, ran),
+            Message::Reply { call, step, ran } => self.on_reply(call, step, ran),
         }
     }
 
@@ -302,10 +307,15 @@
         self.runs.len() as u64
     }
 
-    fn written(&mut self, entry: usize, batch: Batch, lost: Option<Vec<ConflictRow>>) {
-        let Some(rows) = lost else {
+    fn on_batch_written(
+        &mut self,
+        entry: usize,
+        batch: Batch,
+        conflicts: Option<Vec<ConflictRow>>,
+    ) {
+        let Some(rows) = conflicts else {
             for change in batch.changes {
-                self.outcome(&change, WriteOutcome::Committed);
+                self.on_change_written(&change, WriteOutcome::Committed);
             }
             return;
         };
@@ -314,13 +324,13 @@
             self.send(entry, batch);
         }
         for (change, current) in split.conflicted {
-            self.outcome(&change, WriteOutcome::Conflict(current));
+            self.on_change_written(&change, WriteOutcome::Conflict(current));
         }
     }
 
-    fn outcome(&mut self, change: &RowChange, outcome: WriteOutcome) {
-        let row = change.row.as_ref().expect("no deletions");
-        let i = call_of(row);
+    fn on_change_written(&mut self, change: &RowChange, outcome: WriteOutcome) {
+        let row = change.row.as_ref().expect("entries write no deletions");
+        let i = call_index(row);
         let call = &mut self.calls[i];
         if row.state != ClaimState::Claimed {
             let next = call.claim.as_mut().and_then(|c| c.on_written(outcome));
@@ -332,11 +342,11 @@
             .as_ref()
             .is_some_and(|c| c.attempt() == row.attempt)
         {
-            self.claimed(i, outcome);
+            self.on_claim_written(i, outcome);
         }
     }
 
-    fn claimed(&mut self, i: usize, outcome: WriteOutcome) {
+    fn on_claim_written(&mut self, i: usize, outcome: WriteOutcome) {
         let call = &mut self.calls[i];
         let Some(claim) = &mut call.claim else { return };
         match claim.on_claim_written(outcome) {
@@ -347,7 +357,7 @@
                 call.awaits = None;
                 call.steps += 1;
                 call.abandoned = true;
-                call.told = Some(Told::NotRun);
+                call.reported = Some(Reported::NotRun);
                 let entry = call.entry;
                 change.into_iter().for_each(|c| self.write(entry, c));
             }
@@ -356,12 +366,12 @@
 
     fn dispatch(&mut self, i: usize) {
         let call = &mut self.calls[i];
-        let permitted = call
+        let allowed = call
             .claim
             .as_mut()
             .is_some_and(|c| c.begin_dispatch(self.now).is_ok());
-        if !permitted {
-            return self.give_up(i);
+        if !allowed {
+            return self.release(i);
         }
         call.tries += 1;
         call.awaits = Some(call.steps);
@@ -369,15 +379,15 @@
         self.messages.push(Message::Request { call: i, step });
     }
 
-    fn give_up(&mut self, i: usize) {
+    fn release(&mut self, i: usize) {
         let call = &mut self.calls[i];
-        call.told = Some(Told::NotRun);
+        call.reported = Some(Reported::NotRun);
         let change = call.claim.as_mut().and_then(|c| c.release());
         let entry = call.entry;
         change.into_iter().for_each(|c| self.write(entry, c));
     }
 
-    fn replied(&mut self, i: usize, step: u32, ran: Option<u64>) {
+    fn on_reply(&mut self, i: usize, step: u32, ran: Option<u64>) {
         let call = &mut self.calls[i];
         let alive = self.entries[call.entry].incarnation == call.incarnation;
         if !alive || call.awaits != Some(step) {
@@ -385,21 +395,25 @@
         }
         match ran {
             Some(run) => {
-                let kept = StoredResponse::new("o", 200, "text/plain", &vec![b'x'; run as usize]);
-                self.after(i, DispatchOutcome::Answered(kept), Some(Told::Answer(run)));
+                let stored = StoredResponse::new("o", 200, "text/plain", &vec![b'x'; run as usize]);
+                self.on_dispatched(
+                    i,
+                    DispatchOutcome::Answered(stored),
+                    Some(Reported::Response(run)),
+                );
             }
             None => {
-                self.after(i, DispatchOutcome::NotRun, None);
+                self.on_dispatched(i, DispatchOutcome::NotRun, None);
                 self.retry(i, Outcome::NotRun);
             }
         }
     }
 
-    fn after(&mut self, i: usize, outcome: DispatchOutcome, told: Option<Told>) {
+    fn on_dispatched(&mut self, i: usize, outcome: DispatchOutcome, reported: Option<Reported>) {
         let call = &mut self.calls[i];
         call.awaits = None;
         call.steps += 1;
-        call.told = told;
+        call.reported = reported;
         let change = call.claim.as_mut().and_then(|c| c.on_dispatched(outcome));
         let entry = call.entry;
         change.into_iter().for_each(|c| self.write(entry, c));
@@ -410,12 +424,12 @@
         let budget = &mut self.entries[call.entry].budget;
         match may_retry(outcome, false, call.tries, &TENANT.into(), budget) {
             Ok(()) => self.dispatch(i),
-            Err(_) if outcome == Outcome::NotRun => self.give_up(i),
-            Err(_) => call.told = Some(Told::Unknown),
+            Err(_) if outcome == Outcome::NotRun => self.release(i),
+            Err(_) => call.reported = Some(Reported::Unknown),
         }
     }
 
-    /// The entry waits no longer for what the call awaits.
+    /// The step that the call awaits times out at the entry.
     pub(crate) fn time_out(&mut self, i: usize) {
         let call = &mut self.calls[i];
         let alive = self.entries[call.entry].incarnation == call.incarnation;
@@ -423,19 +437,19 @@
             return;
         }
         if call.tries == 0 {
-            return self.claimed(i, WriteOutcome::Unknown);
+            return self.on_claim_written(i, WriteOutcome::Unknown);
         }
-        self.after(i, DispatchOutcome::Unknown, None);
+        self.on_dispatched(i, DispatchOutcome::Unknown, None);
         self.retry(i, Outcome::Unknown);
     }
 
-    /// The entry dies and starts anew; its callers lose their connections.
+    /// Crashes and restarts the entry; its callers lose their connections.
     pub(crate) fn kill(&mut self, entry: usize) {
         let next = self.entries[entry].incarnation + 1;
         self.entries[entry] = Entry::new(next);
     }
 
-    /// Keys have been kept for their time, and the rows that may go are deleted.
+    /// Advances past the retention and deletes the rows that may be deleted.
     pub(crate) fn sweep(&mut self) {
         self.now += RETENTION + 2 * ERA_LENGTH;
         self.generation += 1;
@@ -450,19 +464,21 @@
                 let deleted = self.store.commit(&Batch {
                     changes: vec![change],
                 });
-                assert!(deleted.is_ok(), "nothing came between");
+                assert!(deleted.is_ok(), "no concurrent write");
             }
         }
     }
 
-    /// Observers take the entry for lapsed although it runs on.
-    pub(crate) fn seem_lapsed(&mut self, entry: usize) {
-        self.lapsed.insert((entry, self.entries[entry].incarnation));
+    /// Observers take the entry's lease as expired although the entry keeps running.
+    pub(crate) fn seem_expired(&mut self, entry: usize) {
+        self.expired_leases
+            .insert((entry, self.entries[entry].incarnation));
     }
 }
 
 /// The call whose attempt wrote the row.
-fn call_of(row: &ClaimRow) -> usize {
+fn call_index(row: &ClaimRow) -> usize {
     let call = row.attempt.split('.').next();
-    call.and_then(|c| c.parse().ok()).expect("an index")
+    call.and_then(|c| c.parse().ok())
+        .expect("attempt starts with a call index")
 }
