--- a/crates/config/src/accept.rs
+++ b/crates/config/src/accept.rs
@@ -1,12 +1,12 @@
-//! Acceptance: which submitted text becomes the next version, as a pure decision.
+//! Decides, without I/O, whether a submitted text becomes the next version.
 //!
-//! A submission becomes version V+1 by one transaction whose condition is the
-//! row of version V that the operator saw. Of two operators at once one
-//! transaction fails; its caller reads the row again and gets [`Decision::Conflict`].
+//! A submission becomes version V+1 by one transaction conditional on the row of
+//! version V that the operator saw. Of two concurrent transactions one fails; its
+//! caller reads the row again and gets [`Decision::Conflict`].
 //!
-//! Every row that an acceptance writes is written by acceptances alone, so each
-//! write has a condition. A transaction whose answer was lost can then be sent
-//! again as it stands: it commits once, or finds that it did.
+//! Only acceptances write these rows, so each write has a condition and a
+//! transaction is idempotent: after a lost response it can be resent unchanged
+//! and commits at most once.
 
 use eelgrassmill_base::{ConfigVersion, RowVersion, SubmitId, value};
 use smol_str::SmolStr;
@@ -17,32 +17,32 @@
 
 /// Key of the row that holds the accepted text.
 pub const CURRENT_KEY: &str = "config/current";
-/// Key of the row that says which version is accepted, without its text.
+/// Key of the row with the accepted version and its checksum, without the text.
 ///
-/// Nodes look for new versions all the time, and the text of a large fleet
-/// has tens of kilobytes: they read this row, and the text when it changed.
+/// Nodes poll this row and fetch the text only when the version changed, because
+/// the text of a large fleet has tens of kilobytes.
 pub const HEAD_KEY: &str = "config/head";
-/// Prefix of the rows that hold earlier and current versions.
+/// Prefix of the rows that hold the current and earlier versions.
 pub const LOG_PREFIX: &str = "config/log/";
-/// Versions kept in the log. Each takes the row of the one that is this many older.
+/// Versions kept in the log; a new version overwrites the row of the one this much older.
 pub const MAX_LOG_VERSIONS: u64 = 500;
-/// Earlier submissions that the current row remembers, the latest last.
+/// Maximum number of accepted submissions that the current row lists, latest last.
 pub const MAX_RECENT_SUBMISSIONS: usize = 128;
 
-/// Key of the row that holds version `v`, as long as it is kept: see [`LogRow::version`].
+/// Key of the log row for version `v`, which a later version may have overwritten: see [`LogRow::version`].
 pub fn log_key(v: ConfigVersion) -> SmolStr {
     format!("{LOG_PREFIX}{:03}", v % MAX_LOG_VERSIONS).into()
 }
 
-/// Version that the log row for `v` has before `v` is written to it.
+/// Row version that the log row for `v` has before `v` is written to it.
 fn log_row_version(v: ConfigVersion) -> RowVersion {
     (v - 1) / MAX_LOG_VERSIONS
 }
 
 value! { wire
-    /// What row `config/current` holds.
+    /// Value of row `config/current`.
     pub struct CurrentRow {
-        /// Rises by one with each acceptance; the first is 1.
+        /// Incremented by one with each acceptance; the first is 1.
         pub version: ConfigVersion,
         /// The text as it was submitted.
         pub text: String,
@@ -50,13 +50,13 @@
         pub checksum: SmolStr,
         /// Who submitted it.
         pub author: SmolStr,
-        /// The submission that it came from.
+        /// Id of the submission.
         pub submit_id: SubmitId,
-        /// The last submissions, this one included; at most [`MAX_RECENT_SUBMISSIONS`].
+        /// The latest accepted submissions including this one; at most [`MAX_RECENT_SUBMISSIONS`].
         pub recent: Vec<AcceptedSubmission>,
     }
 
-    /// What row `config/head` holds.
+    /// Value of row `config/head`.
     pub struct HeadRow {
         /// The accepted version.
         pub version: ConfigVersion,
@@ -64,9 +64,9 @@
         pub checksum: SmolStr,
     }
 
-    /// What a row under `config/log/` holds.
+    /// Value of a row under `config/log/`.
     pub struct LogRow {
-        /// The version. A reader that asked for an older one finds that it isn't kept any more.
+        /// The version; newer than requested if the requested one was overwritten.
         pub version: ConfigVersion,
         /// The text as it was submitted.
         pub text: String,
@@ -74,7 +74,7 @@
         pub checksum: SmolStr,
         /// Who submitted it.
         pub author: SmolStr,
-        /// The submission that it came from.
+        /// Id of the submission.
         pub submit_id: SubmitId,
     }
 
@@ -84,79 +84,79 @@
         pub version: ConfigVersion,
         /// Who submitted it.
         pub author: SmolStr,
-        /// Its id.
+        /// Id of the submission.
         pub submit_id: SubmitId,
     }
 
-    /// A text that an operator asks to accept.
+    /// A submitted configuration text.
     pub struct Submit {
-        /// Chosen by the submitter; the same for each repeat of one submission.
+        /// Idempotency key, chosen by the submitter and kept for retries.
         pub id: SubmitId,
-        /// The version that the operator saw and changed; 0 for none yet.
+        /// The version that the change is based on; 0 if there was none.
         pub base: ConfigVersion,
-        /// Who submits.
+        /// Who submitted it.
         pub author: SmolStr,
         /// The whole text.
         pub text: String,
     }
 
-    /// Why a submission lost against others.
+    /// Concurrent changes that a submission conflicts with.
     pub struct Conflict {
-        /// The version accepted now.
+        /// The currently accepted version.
         pub version: ConfigVersion,
-        /// The submissions accepted since the base, as far as they are remembered.
+        /// The submissions accepted since the base, as far as the current row lists them.
         pub by: Vec<AcceptedSubmission>,
-        /// What they changed; `None` when the base version isn't at hand.
+        /// What they changed; `None` if the base version isn't available.
         pub changes: Option<Vec<Change>>,
     }
 }
 
 value! {
-    /// A row to write under a condition.
+    /// A conditional row write.
     pub struct RowWrite {
-        /// Its key.
+        /// The row key.
         pub key: SmolStr,
-        /// The version it must have (0 for absent); `None` for any.
+        /// The required row version (0 for absent); `None` for any.
         pub expected_version: Option<RowVersion>,
-        /// Its value as JSON; `None` deletes it.
+        /// The new value as JSON; `None` deletes the row.
         pub value: Option<String>,
     }
 
-    /// The rows that make a submission the next version, for one transaction.
+    /// The row writes that make a submission the next version, in one transaction.
     pub struct Acceptance {
-        /// The version it becomes when the transaction commits.
+        /// The version that the submission becomes when the transaction commits.
         pub version: ConfigVersion,
         /// The new `config/current`.
         pub current: CurrentRow,
-        /// All writes with their conditions.
+        /// All row writes with their conditions.
         pub writes: Vec<RowWrite>,
     }
 
-    /// What is to be done with a submission.
+    /// The decision on a submission.
     pub enum Decision {
-        /// Commit this; when its condition fails, read again and decide again.
+        /// Commit this transaction; if its condition fails, read the rows and decide again.
         Accept(Box<Acceptance>),
-        /// A repeat of a submission that is already this version.
+        /// A retry of a submission that was already accepted as this version.
         AlreadyAccepted(ConfigVersion),
-        /// Others were accepted since the version the operator saw; nothing is merged.
+        /// Other submissions were accepted since the base version; nothing is merged.
         Conflict(Conflict),
-        /// The text is wrong.
+        /// The text is invalid.
         Invalid(ConfigErrors),
     }
 }
 
-/// Decides on `submit` against the current row, given with its row version.
+/// Decides on `submit` against the current row and its row version.
 ///
-/// `base` is the log row of the version the operator saw, if at hand; it only
-/// serves to say what changed since.
+/// `base` is the log row of the base version, if available; it is only used to
+/// report what changed since.
 pub fn decide_submit(
     current: Option<(RowVersion, &CurrentRow)>,
     base: Option<&LogRow>,
     submit: &Submit,
 ) -> Decision {
     let recent = current.map_or(&[][..], |(_, row)| &row.recent);
-    // The answer to an accepted submission can get lost. Its repeat must say
-    // so; judged by its base it would look like a conflict with itself.
+    // A retry after a lost response must be recognized as accepted; by its base
+    // alone it would conflict with itself.
     if let Some(accepted) = recent.iter().find(|a| a.submit_id == submit.id) {
         return Decision::AlreadyAccepted(accepted.version);
     }
@@ -208,8 +208,8 @@
     };
     let mut recent = current.map_or_else(Vec::new, |(_, row)| row.recent.clone());
     recent.push(accepted);
-    let surplus = recent.len().saturating_sub(MAX_RECENT_SUBMISSIONS);
-    recent.drain(..surplus);
+    let excess = recent.len().saturating_sub(MAX_RECENT_SUBMISSIONS);
+    recent.drain(..excess);
     let row = CurrentRow {
         version,
         text: submit.text.clone(),
@@ -223,14 +223,14 @@
         checksum: row.checksum.clone(),
     };
     let row_version = current.map_or(0, |(row_version, _)| row_version);
-    let write = |key: SmolStr, expect, value| RowWrite {
+    let write = |key: SmolStr, expected_version, value| RowWrite {
         key,
-        expected_version: Some(expect),
+        expected_version: Some(expected_version),
         value: Some(value),
     };
     let writes = vec![
         write(CURRENT_KEY.into(), row_version, to_json(&row)),
-        // Written together with the current row from the first one on.
+        // Always written together with the current row, so the row versions are equal.
         write(HEAD_KEY.into(), row_version, to_json(&head)),
         write(
             log_key(version),
@@ -256,5 +256,5 @@
 }
 
 fn to_json(row: &impl serde::Serialize) -> String {
-    serde_json::to_string(row).expect("rows hold only numbers, strings and lists")
+    serde_json::to_string(row).expect("rows contain only JSON-serializable types")
 }
--- a/crates/config/src/applied.rs
+++ b/crates/config/src/applied.rs
@@ -1,4 +1,4 @@
-//! A node's view of the accepted configuration: it only ever rises.
+//! The configuration that a node has applied; its version never decreases.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use crate::diagnostics::ConfigErrors;
 use crate::model::Config;
 
-/// What a node has in force.
+/// The configuration that a node has applied.
 ///
-/// Invariants: `version` never falls; `checksum` is that of `text`, and
-/// `config` is what `text` says.
+/// Invariants: `version` never decreases; `checksum` is the checksum of `text`,
+/// and `config` is `text` parsed.
 #[derive(Clone, Debug)]
 pub struct AppliedConfig {
     version: ConfigVersion,
@@ -23,41 +23,41 @@
 }
 
 value! { copy
-    /// What became of an offered version.
+    /// Result of applying a valid version.
     pub enum ApplyOutcome {
-        /// It is in force now, in place of version `from`.
+        /// It was applied and replaces version `from`.
         Applied {
-            /// The version before.
+            /// The previous version.
             from: ConfigVersion,
         },
-        /// It was in force already.
+        /// It was already applied.
         Unchanged,
     }
 }
 
-/// Why an offered version is not applied.
+/// Why a version was not applied.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// It is older than what is in force; the sender is behind.
-    #[error("version {offered} offered, {current} is in force")]
+    /// It is older than the applied one; the sender is behind.
+    #[error("version {received} is older than the applied version {current}")]
     Stale {
-        /// The version offered.
-        offered: ConfigVersion,
-        /// The version in force.
+        /// The received version.
+        received: ConfigVersion,
+        /// The applied version.
         current: ConfigVersion,
     },
-    /// The text isn't the one that was accepted: damaged or wrongly put together on the way.
-    #[error("the text of version {0} does not have its checksum")]
+    /// The text isn't the one that was accepted: it was damaged or reassembled wrongly in transit.
+    #[error("checksum mismatch in the text of version {0}")]
     ChecksumMismatch(ConfigVersion),
-    /// Two texts under one version, which one row of the table can't give.
-    #[error("version {0} is in force with another text")]
+    /// The version is applied with a different text, which a single table row rules out.
+    #[error("version {0} is already applied with a different text")]
     VersionConflict(ConfigVersion),
-    /// The text can't be read, though it was accepted: the acceptor knows keys that this node doesn't.
-    #[error("version {version} can't be read: {errors}")]
+    /// The accepted text doesn't parse here: the accepting node knows keys that this node doesn't.
+    #[error("version {version} is invalid: {errors}")]
     Invalid {
-        /// The version offered.
+        /// The received version.
         version: ConfigVersion,
-        /// Its mistakes as this node sees them.
+        /// The parse errors at this node.
         errors: ConfigErrors,
     },
 }
@@ -69,7 +69,7 @@
 }
 
 impl AppliedConfig {
-    /// Version 0: nothing accepted yet, or nothing heard of.
+    /// Version 0: nothing was accepted yet, or no version was received.
     pub fn empty() -> AppliedConfig {
         AppliedConfig {
             version: 0,
@@ -79,27 +79,27 @@
         }
     }
 
-    /// The version in force; 0 for none.
+    /// The applied version; 0 for none.
     pub fn version(&self) -> ConfigVersion {
         self.version
     }
 
-    /// The text in force.
+    /// The applied text.
     pub fn text(&self) -> &Arc<str> {
         &self.text
     }
 
-    /// Checksum of the text in force.
+    /// Checksum of the applied text.
     pub fn checksum(&self) -> &SmolStr {
         &self.checksum
     }
 
-    /// The configuration in force.
+    /// The applied configuration.
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
 
-    /// Applies the row of the table.
+    /// Applies the current row of the table.
     ///
     /// # Errors
     /// As [`AppliedConfig::apply`].
@@ -107,28 +107,28 @@
         self.apply(row.version, &row.text, &row.checksum)
     }
 
-    /// Applies `text` as `version`, from the table or a peer, when it is newer.
+    /// Applies `text` as `version`, from the table or a peer, if it is newer.
     ///
     /// # Errors
-    /// When it is older, damaged, unreadable or another text of the same version;
-    /// what is in force stays.
+    /// If it is older, damaged, invalid or a different text of the same version;
+    /// the applied configuration is kept.
     pub fn apply(
         &mut self,
         version: ConfigVersion,
         text: &str,
-        sum: &str,
+        expected_checksum: &str,
     ) -> Result<ApplyOutcome, ApplyError> {
         if version < self.version {
             return Err(ApplyError::Stale {
-                offered: version,
+                received: version,
                 current: self.version,
             });
         }
-        if checksum(text) != sum {
+        if checksum(text) != expected_checksum {
             return Err(ApplyError::ChecksumMismatch(version));
         }
         if version == self.version {
-            return if sum == self.checksum {
+            return if expected_checksum == self.checksum {
                 Ok(ApplyOutcome::Unchanged)
             } else {
                 Err(ApplyError::VersionConflict(version))
@@ -140,7 +140,7 @@
         *self = AppliedConfig {
             version,
             text: text.into(),
-            checksum: sum.into(),
+            checksum: expected_checksum.into(),
             config: Arc::new(config),
         };
         Ok(ApplyOutcome::Applied { from })
--- a/crates/config/tests/accept.rs
+++ b/crates/config/tests/accept.rs
@@ -1,4 +1,4 @@
-//! Which submissions are accepted, and what a node applies.
+//! Tests of accepting submissions and of applying versions at a node.
 
 mod common;
 
@@ -27,7 +27,7 @@
     }
 }
 
-fn log_of(row: &CurrentRow) -> LogRow {
+fn to_log_row(row: &CurrentRow) -> LogRow {
     LogRow {
         version: row.version,
         text: row.text.clone(),
@@ -38,7 +38,7 @@
 }
 
 #[gtest]
-fn the_first_text_becomes_version_1_if_no_row_is_there() {
+fn first_submission_becomes_version_1() {
     let decision = decide_submit(None, None, &submit("s1", 0, "ada", TEXT));
     let Decision::Accept(a) = decision else {
         panic!("{decision:?}")
@@ -49,11 +49,11 @@
     expect_true!(a.writes.iter().all(|w| w.expected_version == Some(0)));
 }
 
-/// Versions come and go for months. Unless rows are used again, the log fills
-/// the table; and unless their conditions stay true, one day nothing can be
-/// accepted any more.
+/// Log rows are overwritten cyclically. Without that the log would grow without
+/// bound; with a wrong row version as the condition, every submission after the
+/// first cycle would fail.
 #[gtest]
-fn acceptance_goes_on_and_the_log_stays_bounded() {
+fn log_is_bounded_and_submissions_after_its_wraparound_are_accepted() {
     let mut rows = Rows::default();
     let last = 2 * MAX_LOG_VERSIONS + 3;
     for v in 1..=last {
@@ -64,7 +64,7 @@
             panic!("version {v}");
         };
         assert!(rows.commit(&a.writes), "version {v}");
-        // The same transaction again, as after a lost answer, has no effect.
+        // Resending the same transaction, as after a lost response, has no effect.
         assert!(!rows.commit(&a.writes), "version {v} again");
     }
     expect_that!(rows.len(), eq(MAX_LOG_VERSIONS as usize + 2));
@@ -78,7 +78,7 @@
 }
 
 #[gtest]
-fn the_row_version_seen_is_the_condition() {
+fn acceptance_is_conditional_on_the_row_version_read() {
     let row = accepted(None, &submit("s1", 0, "ada", TEXT));
     let decision = decide_submit(Some((77, &row)), None, &submit("s2", 1, "ada", TEXT));
     let Decision::Accept(a) = decision else {
@@ -88,15 +88,15 @@
     expect_that!(a.writes[1].expected_version, some(eq(77)));
 }
 
-/// Two operators change the text at the same moment. The one whose transaction
-/// comes second must not undo the first one's change, and is told what it was.
+/// Of two concurrent submissions the later one must not revert the change of the
+/// earlier one; the conflict reports that change.
 #[gtest]
-fn the_second_of_two_operators_is_told_who_changed_what() {
+fn conflict_reports_authors_and_changes() {
     let first = accepted(None, &submit("s1", 0, "ada", TEXT));
-    let bobs = TEXT.replace("groups = 4", "groups = 5");
-    let second = accepted(Some((1, &first)), &submit("s2", 1, "bob", &bobs));
+    let changed = TEXT.replace("groups = 4", "groups = 5");
+    let second = accepted(Some((1, &first)), &submit("s2", 1, "bob", &changed));
     let late = submit("s3", 1, "ada", &TEXT.replace("weight = 3", "weight = 4"));
-    let decision = decide_submit(Some((2, &second)), Some(&log_of(&first)), &late);
+    let decision = decide_submit(Some((2, &second)), Some(&to_log_row(&first)), &late);
     let Decision::Conflict(c) = decision else {
         panic!("{decision:?}")
     };
@@ -113,11 +113,11 @@
     );
 }
 
-/// The table commits but its answer is lost, another operator's text follows,
-/// and then the first one asks again. Calling that a conflict would make the
-/// operator submit a change that is already in force.
+/// The response to an accepted submission is lost, another submission is accepted
+/// and the first one is retried. Reporting a conflict would make the operator
+/// submit a change that is already accepted.
 #[gtest]
-fn a_repeat_of_an_accepted_submission_says_which_version_it_became() {
+fn retry_of_an_accepted_submission_returns_its_version() {
     let first = accepted(None, &submit("s1", 0, "ada", TEXT));
     let second = accepted(Some((1, &first)), &submit("s2", 1, "bob", TEXT));
     let decision = decide_submit(Some((2, &second)), None, &submit("s1", 0, "ada", TEXT));
@@ -125,31 +125,31 @@
 }
 
 #[gtest]
-fn remembered_submissions_are_bounded() {
+fn recent_submissions_are_bounded() {
     let mut row = accepted(None, &submit("s0", 0, "ada", TEXT));
     for i in 1..(MAX_RECENT_SUBMISSIONS as u64 + 10) {
         row = accepted(Some((i, &row)), &submit(&format!("s{i}"), i, "ada", TEXT));
     }
     expect_that!(row.recent.len(), eq(MAX_RECENT_SUBMISSIONS));
-    // Out of memory and judged by its base alone: still not accepted twice.
-    let again = decide_submit(Some((1, &row)), None, &submit("s0", 0, "ada", TEXT));
-    expect_that!(again, matches_pattern!(Decision::Conflict(anything())));
+    // No longer listed, the retry conflicts by its base: not accepted twice.
+    let retry = decide_submit(Some((1, &row)), None, &submit("s0", 0, "ada", TEXT));
+    expect_that!(retry, matches_pattern!(Decision::Conflict(anything())));
 }
 
 #[gtest]
-fn a_wrong_text_is_never_accepted() {
+fn invalid_text_is_rejected() {
     let decision = decide_submit(None, None, &submit("s1", 0, "ada", "[fleet]\nrepair = x\n"));
     expect_that!(decision, matches_pattern!(Decision::Invalid(anything())));
 }
 
-/// A node that was cut off comes back and its peers, one of them behind, offer
-/// what they have. Whatever the order, an operator never sees a version fall.
+/// A node reconnects after a network partition and receives versions from its
+/// peers, some stale or damaged. In any order, the applied version never decreases.
 #[gtest]
-fn versions_only_rise_at_a_node() {
-    let offers = prop::collection::vec((0u64..6, any::<bool>()), 1..30);
-    let tested = runner(6).run(&offers, |offers| {
+fn applied_version_never_decreases() {
+    let received = prop::collection::vec((0u64..6, any::<bool>()), 1..30);
+    let tested = runner(6).run(&received, |received| {
         let mut node = AppliedConfig::empty();
-        for (version, damaged) in offers {
+        for (version, damaged) in received {
             let text = format!("[tenant t]\ntoken_sha256 = {version:064x}\n");
             let sum = if damaged {
                 checksum("other")
@@ -157,11 +157,11 @@
                 checksum(&text)
             };
             let before = node.version();
-            let offered = node.apply(version, &text, &sum);
+            let result = node.apply(version, &text, &sum);
             prop_assert!(node.version() >= before);
             prop_assert_eq!(checksum(node.text()), node.checksum().clone());
             prop_assert_eq!(
-                offered == Ok(ApplyOutcome::Applied { from: before }),
+                result == Ok(ApplyOutcome::Applied { from: before }),
                 !damaged && version > before
             );
         }
@@ -171,7 +171,7 @@
 }
 
 #[gtest]
-fn what_a_node_refuses_leaves_its_text_in_force() {
+fn rejected_version_leaves_the_applied_text_unchanged() {
     let mut node = AppliedConfig::empty();
     let sum = checksum(TEXT);
     expect_that!(
@@ -180,23 +180,23 @@
     );
     expect_that!(node.apply(2, TEXT, &sum), ok(eq(&ApplyOutcome::Unchanged)));
     let stale = ApplyError::Stale {
-        offered: 1,
+        received: 1,
         current: 2,
     };
     expect_that!(node.apply(1, TEXT, &sum), err(eq(&stale)));
-    let half = &TEXT[..TEXT.len() / 2];
+    let truncated = &TEXT[..TEXT.len() / 2];
     expect_that!(
-        node.apply(3, half, &sum),
+        node.apply(3, truncated, &sum),
         err(eq(&ApplyError::ChecksumMismatch(3)))
     );
     expect_that!(
         node.apply(2, "", &checksum("")),
         err(eq(&ApplyError::VersionConflict(2)))
     );
-    let newer_keys = "[fleet]\nnovel = 1\n";
-    let unread = node.apply(3, newer_keys, &checksum(newer_keys));
+    let unknown_key = "[fleet]\nnovel = 1\n";
+    let invalid = node.apply(3, unknown_key, &checksum(unknown_key));
     expect_that!(
-        unread,
+        invalid,
         err(matches_pattern!(ApplyError::Invalid {
             version: eq(&3),
             ..
