--- a/crates/config/src/canonical.rs
+++ b/crates/config/src/canonical.rs
@@ -1,4 +1,4 @@
-//! The canonical text of a configuration, and what changed between two.
+//! Canonical text, checksum and diff of configurations.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,11 +12,11 @@
 };
 use crate::units::format_duration;
 
-/// Digits of a token's SHA-256 that are shown in a difference.
-const SHOWN_DIGITS: usize = 8;
+/// Hexadecimal digits of a token's SHA-256 that a diff shows.
+const SHOWN_HASH_DIGITS: usize = 8;
 
 value! {
-    /// One section of the text.
+    /// Name of a section in the text.
     #[derive(PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
     #[serde(rename_all = "kebab-case")]
     pub enum SectionName {
@@ -37,17 +37,17 @@
     /// One difference between two configurations.
     #[serde(rename_all = "kebab-case", tag = "change")]
     pub enum Change {
-        /// A section that wasn't there.
+        /// A new section.
         Added {
             /// The section.
             section: SectionName,
         },
-        /// A section that is gone.
+        /// A deleted section.
         Removed {
             /// The section.
             section: SectionName,
         },
-        /// A key with another value.
+        /// A key with a changed value.
         Set {
             /// The section.
             section: SectionName,
@@ -94,7 +94,7 @@
 
 type Entries = Vec<(&'static str, String)>;
 
-/// The text of `config` with every key written out, always the same for the same configuration.
+/// Text of `config` with every key written out, identical for equal configurations.
 pub fn canonical(config: &Config) -> String {
     let mut text = String::new();
     for (section, entries) in sections(config) {
@@ -117,7 +117,7 @@
     digits.into()
 }
 
-/// What one must change in `from` to have `to`, in the order of the sections.
+/// Changes that turn `from` into `to`, ordered by section.
 pub fn diff(from: &Config, to: &Config) -> Vec<Change> {
     let old = sections(from);
     let new = sections(to);
@@ -144,23 +144,23 @@
             .find(|(k, _)| *k == key)
             .map(|(_, v)| v.clone())
     };
-    let gone = old.iter().filter(|(k, _)| value(new, k).is_none());
-    for (key, _) in new.iter().chain(gone) {
+    let removed = old.iter().filter(|(k, _)| value(new, k).is_none());
+    for (key, _) in new.iter().chain(removed) {
         let (from, to) = (value(old, key), value(new, key));
         if from != to {
             changes.push(Change::Set {
                 section: section.clone(),
                 key: SmolStr::new_static(key),
-                from: from.map(|v| shown(key, v)),
-                to: to.map(|v| shown(key, v)),
+                from: from.map(|v| redacted(key, v)),
+                to: to.map(|v| redacted(key, v)),
             });
         }
     }
 }
 
-fn shown(key: &str, mut value: String) -> String {
+fn redacted(key: &str, mut value: String) -> String {
     if key == "token_sha256" {
-        value.truncate(SHOWN_DIGITS);
+        value.truncate(SHOWN_HASH_DIGITS);
         value.push_str("...");
     }
     value
--- a/crates/config/tests/canonical.rs
+++ b/crates/config/tests/canonical.rs
@@ -1,4 +1,4 @@
-//! The canonical text and what changed between two.
+//! Tests of the canonical text, checksums and diffs.
 
 mod common;
 
@@ -8,24 +8,24 @@
 use proptest::prelude::*;
 
 #[gtest]
-fn the_canonical_text_writes_every_key_out() {
+fn canonical_text_contains_every_key() {
     let config = Config::parse(TEXT, "f").unwrap();
     insta::assert_snapshot!(canonical(&config));
 }
 
 #[gtest]
-fn parsing_the_canonical_text_gives_the_same_configuration() {
+fn canonical_text_round_trips() {
     let tested = runner(2).run(&config(), |c| {
-        let again =
+        let parsed =
             Config::parse(&canonical(&c), "f").map_err(|e| TestCaseError::fail(e.to_string()))?;
-        prop_assert_eq!(&again, &c);
+        prop_assert_eq!(&parsed, &c);
         Ok(())
     });
     expect_that!(tested, ok(anything()));
 }
 
 #[gtest]
-fn equal_configurations_have_no_difference_and_others_have_one() {
+fn diff_is_empty_only_for_equal_configurations() {
     let tested = runner(3).run(&(config(), config()), |(a, b)| {
         prop_assert_eq!(diff(&a, &b).is_empty(), a == b);
         prop_assert!(diff(&a, &a).is_empty());
@@ -35,7 +35,7 @@
 }
 
 #[gtest]
-fn differences_are_told_by_section_and_key_and_show_no_whole_token_hash() {
+fn diff_lists_sections_and_keys_and_truncates_token_hashes() {
     let old = Config::parse(TEXT, "f").unwrap();
     let new = TEXT
         .replace("version = v1", "version = v2")
@@ -48,7 +48,7 @@
 }
 
 #[gtest]
-fn a_checksum_is_the_sha_256_of_the_text() {
+fn checksum_is_the_sha_256_of_the_text() {
     expect_that!(
         checksum("test").as_str(),
         eq("9f86d081884c7d659a2feaa0c55ad015a3bf4f1b2b0b822cd15d6c15b0f00a08")
