--- a/crates/config/src/config_schema.rs
+++ b/crates/config/src/config_schema.rs
@@ -1,11 +1,11 @@
-//! The keys of the operators' text.
+//! Schema of the configuration text.
 
 use std::time::Duration;
 
 use crate::schema::{Key, SectionKeys, ValueType, defaulted, optional, required};
 
 const YES_NO: ValueType = ValueType::Choice(&["yes", "no"]);
-const MAX_LIST: usize = 1_000;
+const MAX_LIST_ITEMS: usize = 1_000;
 const SECOND: Duration = Duration::from_secs(1);
 const HOUR: Duration = Duration::from_secs(3_600);
 const DAY: Duration = Duration::from_secs(24 * 3_600);
@@ -69,7 +69,9 @@
     ),
     defaulted(
         "depends_on",
-        ValueType::Names { max: MAX_LIST },
+        ValueType::Names {
+            max: MAX_LIST_ITEMS,
+        },
         "",
         "Services that must be able to serve for this one to serve.",
     ),
@@ -139,7 +141,9 @@
 pub(crate) const PLAIN: &[Key] = &[
     required(
         "targets",
-        ValueType::Names { max: MAX_LIST },
+        ValueType::Names {
+            max: MAX_LIST_ITEMS,
+        },
         "The hosts that run it.",
     ),
     defaulted(
@@ -163,7 +167,7 @@
     ),
 ];
 
-/// Every section of the operators' text with its keys, in the order of the reference page.
+/// Schema of every section of the configuration text, in the order of the reference page.
 pub const CONFIG_SECTIONS: &[SectionKeys] = &[
     SectionKeys {
         section: "[fleet]",
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' text: parse, check, compare, canonical form and version.
+//! The fleet configuration: parsing, validation, diffs, canonical form and versions.
 //!
-//! Pure: nothing here reads a file, a clock or the table. [`decide_submit`]
-//! says which rows a submission writes, [`AppliedConfig`] what a node has in force.
+//! The crate does no I/O and reads no clock: [`decide_submit`] returns the table
+//! rows that a submission writes, [`AppliedConfig`] holds what a node has applied.
 
 mod accept;
 mod applied;
--- a/crates/config/src/model.rs
+++ b/crates/config/src/model.rs
@@ -1,4 +1,4 @@
-//! The configuration as checked values.
+//! The parsed and validated configuration.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,30 +7,30 @@
 use smol_str::SmolStr;
 
 value! { copy
-    /// What the repair policy saves first when it can't have both.
+    /// What the repair policy minimizes first when it can't minimize both.
     pub enum RepairObjective {
-        /// The time in which a group cannot serve.
+        /// The time during which a group cannot serve.
         Downtime,
-        /// Healthy accelerators that sit idle in incomplete groups.
+        /// Healthy accelerators left idle in incomplete groups.
         Stranded,
     }
 }
 
 value! {
-    /// One accepted text, parsed and checked.
+    /// A parsed and validated configuration.
     ///
-    /// Invariants: every service, tenant and dependency named exists; the
+    /// Invariants: every referenced service, tenant and dependency exists; the
     /// dependencies have no cycle; every number is within its limits.
     pub struct Config {
-        /// What the repair policy weighs first.
+        /// What the repair policy minimizes first.
         pub repair: RepairObjective,
         /// Services by name.
         pub services: BTreeMap<ServiceName, Service>,
         /// Tenants by name.
         pub tenants: BTreeMap<TenantId, Tenant>,
-        /// What is said of single targets, by host.
+        /// Options of targets, by host.
         pub targets: BTreeMap<HostId, TargetOptions>,
-        /// What is said of single nodes, by node.
+        /// Options of nodes, by node.
         pub nodes: BTreeMap<NodeId, NodeOptions>,
     }
 
@@ -42,28 +42,28 @@
         pub kind: ServiceKind,
         /// Services that must be able to serve for this one to serve.
         pub depends_on: Vec<ServiceName>,
-        /// Whether a call may be run again when nobody knows if it ran.
+        /// Whether a call may be retried when it is unknown if it ran.
         pub repeatable: bool,
-        /// How long the answer of a call that runs at most once is kept for repeats.
+        /// How long the response of an at-most-once call is kept for retries.
         pub keep_answers: Duration,
-        /// Longest time a request may take when its caller names no deadline.
+        /// Timeout of a request whose caller sets no deadline.
         pub timeout: Duration,
-        /// Longest queue at one node, in requests.
+        /// Maximum queue length at one node, in requests.
         pub max_queue: u32,
     }
 
-    /// What a service is made of.
+    /// What serves a service.
     pub enum ServiceKind {
         /// Model groups of engine hosts.
         Model(ModelService),
-        /// Plain targets, named by host.
+        /// Plain targets, listed by host.
         Plain {
             /// The hosts that run it.
             targets: Vec<HostId>,
-            /// Calls that one target runs at a time.
+            /// Concurrent calls per target.
             slots: u32,
         },
-        /// An adapter that is served by the groups of its base service.
+        /// A model adapter served by the groups of its base service.
         Adapter {
             /// The service whose groups serve it.
             base: ServiceName,
@@ -78,15 +78,15 @@
         pub model: ModelName,
         /// Its version.
         pub version: ModelVersion,
-        /// How many groups are wanted.
+        /// Desired number of groups.
         pub groups: u32,
-        /// Hosts in each group.
+        /// Hosts per group.
         pub hosts_per_group: u32,
-        /// A rollout keeps at least this many groups able to serve.
+        /// Minimum number of groups that stay able to serve during a rollout.
         pub floor: u32,
-        /// Requests that one group runs at a time.
+        /// Concurrent requests per group.
         pub slots: u32,
-        /// Slots of each group that only urgent requests may use.
+        /// Slots per group that are reserved for urgent requests.
         pub urgent_slots: u32,
     }
 
@@ -94,31 +94,31 @@
     pub struct Tenant {
         /// Its name.
         pub name: TenantId,
-        /// SHA-256 of its bearer token, as 64 hexadecimal digits. The token itself is never kept.
+        /// SHA-256 of its bearer token, as 64 hexadecimal digits. The token itself is never stored.
         pub token_sha256: SmolStr,
-        /// Its share relative to the others'.
+        /// Its share relative to other tenants.
         pub weight: u32,
-        /// Longest queue of its requests at one node and service.
+        /// Maximum queue length of its requests at one node and service.
         pub max_queue: u32,
     }
 
-    /// What is said of one target.
+    /// Options of one target.
     pub struct TargetOptions {
-        /// Whether the target refuses an order with an old fencing number.
+        /// Whether the target rejects an order with a stale fencing token.
         pub checks_orders: bool,
-        /// Whether it is to be emptied: it gets nothing new and its group moves off it.
+        /// Whether it is drained: it gets no new requests and its group moves to another host.
         pub drain: bool,
     }
 
-    /// What is said of one node.
+    /// Options of one node.
     pub struct NodeOptions {
-        /// Whether callers are to be sent elsewhere.
+        /// Whether it is drained: callers are sent to other nodes.
         pub drain: bool,
     }
 }
 
 impl Default for Config {
-    /// The empty text: no service, no tenant.
+    /// The configuration of an empty text: no services, no tenants.
     fn default() -> Config {
         Config {
             repair: RepairObjective::Downtime,
@@ -131,17 +131,17 @@
 }
 
 impl Config {
-    /// Whether `host` refuses old orders; a host that the text is silent on is taken not to.
+    /// Whether `host` rejects stale orders; `false` if the text has no section for it.
     pub fn checks_orders(&self, host: &str) -> bool {
         self.targets.get(host).is_some_and(|t| t.checks_orders)
     }
 
-    /// Whether the text asks to empty target `host`.
+    /// Whether target `host` is to be drained.
     pub fn is_target_draining(&self, host: &str) -> bool {
         self.targets.get(host).is_some_and(|t| t.drain)
     }
 
-    /// Whether the text asks to send callers away from `node`.
+    /// Whether `node` is to be drained of callers.
     pub fn is_node_draining(&self, node: &str) -> bool {
         self.nodes.get(node).is_some_and(|n| n.drain)
     }
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,7 +1,7 @@
-//! Tables of keys: what may be written in a section, with defaults and limits.
+//! Schema of sections: keys with types, limits and defaults.
 //!
-//! The reader and the reference page both come from these tables, so that a
-//! limit can't be one thing in the code and another on the page.
+//! The parser and the reference page are both generated from the schema, so that
+//! their limits and defaults agree.
 
 use std::time::Duration;
 
@@ -10,81 +10,81 @@
 use crate::units::format_duration;
 
 value! {
-    /// What a value must look like.
+    /// Type and limits of a value.
     pub enum ValueType {
         /// A whole number from `min` to `max`.
         Number {
-            /// Lowest.
+            /// Minimum.
             min: u64,
-            /// Highest.
+            /// Maximum.
             max: u64,
         },
-        /// A number of zero or more with decimals, like `0.2`.
+        /// A non-negative decimal number like `0.2`.
         Decimal {
-            /// Highest.
+            /// Maximum.
             max: u64,
         },
         /// A duration like `250ms`, `10s`, `10m` or `2h`.
         Duration {
-            /// Shortest.
+            /// Minimum.
             min: Duration,
-            /// Longest.
+            /// Maximum.
             max: Duration,
         },
         /// One of these words.
         Choice(&'static [&'static str]),
         /// A name, see [`crate::is_valid_name`].
         Name,
-        /// Names with commas between them.
+        /// Comma-separated names.
         Names {
-            /// Longest list.
+            /// Maximum number of items.
             max: usize,
         },
         /// `IP:PORT` with a numeric address.
         Address,
-        /// `IP:PORT`s with commas between them.
+        /// Comma-separated `IP:PORT`s.
         Addresses {
-            /// Longest list.
+            /// Maximum number of items.
             max: usize,
         },
         /// A SHA-256 as 64 hexadecimal digits.
         Sha256,
-        /// The path of a file.
+        /// A file path.
         Path,
     }
 
-    /// What happens when a key is left out.
+    /// Whether a key is required, and its value if omitted.
     pub enum Presence {
-        /// It can't be left out.
+        /// The key must be set.
         Required,
-        /// This value counts.
+        /// This value is used if omitted.
         Default(&'static str),
-        /// Another rule counts, said in words.
+        /// The value is derived as described if omitted.
         Derived(&'static str),
     }
 
-    /// One key.
+    /// Schema of one key.
     pub struct Key {
-        /// Its name.
+        /// Name of the key.
         pub name: &'static str,
-        /// What its value must look like.
+        /// Type and limits of its value.
         pub value_type: ValueType,
-        /// What happens when it is left out.
+        /// Whether it is required, and its value if omitted.
         pub presence: Presence,
-        /// What it does, in one line.
+        /// One-line description.
         pub description: &'static str,
     }
 
-    /// The keys of one kind of section.
+    /// Schema of one kind of section.
     pub struct SectionKeys {
-        /// The section as it is written, like `[tenant NAME]`.
+        /// The section header, like `[tenant NAME]`.
         pub section: &'static str,
-        /// Its keys.
+        /// Keys of the section.
         pub keys: &'static [Key],
     }
 }
 
-/// A required key.
+/// Schema of a required key.
 pub const fn required(name: &'static str, value_type: ValueType, description: &'static str) -> Key {
     Key {
         name,
@@ -94,7 +94,7 @@
     }
 }
 
-/// A key with a default value.
+/// Schema of a key with a default value.
 pub const fn defaulted(
     name: &'static str,
     value_type: ValueType,
@@ -109,7 +109,7 @@
     }
 }
 
-/// A key whose absence has a meaning of its own.
+/// Schema of a key whose value is derived if omitted, as `source` describes.
 pub const fn optional(
     name: &'static str,
     value_type: ValueType,
@@ -125,17 +125,17 @@
 }
 
 impl ValueType {
-    /// A number's shape.
+    /// A whole number from `min` to `max`.
     pub const fn number(min: u64, max: u64) -> ValueType {
         ValueType::Number { min, max }
     }
 
-    /// A duration's shape.
+    /// A duration from `min` to `max`.
     pub const fn duration(min: Duration, max: Duration) -> ValueType {
         ValueType::Duration { min, max }
     }
 
-    /// What to write, for errors and for the reference page.
+    /// Describes valid values, for error messages and the reference page.
     pub fn describe(&self) -> String {
         match self {
             ValueType::Number { min, max } => format!("a whole number from {min} to {max}"),
@@ -159,7 +159,7 @@
 }
 
 impl Presence {
-    /// As it stands on the reference page.
+    /// Describes the default, for the reference page.
     pub fn describe(&self) -> &'static str {
         match self {
             Presence::Required => "required",
@@ -171,12 +171,12 @@
 }
 
 impl SectionKeys {
-    /// The section's name without its brackets.
+    /// The section header without its brackets.
     pub fn name(&self) -> &'static str {
         self.section.trim_matches(['[', ']'])
     }
 
-    /// Rows of a table for the reference page: key, what to write, default, meaning.
+    /// Markdown table for the reference page: key, valid values, default, description.
     pub fn reference_table(&self) -> String {
         let mut page = format!("### `{}`\n\n", self.section);
         page.push_str("| key | what to write | when left out | meaning |\n");
