--- a/crates/config/src/diagnostics.rs
+++ b/crates/config/src/diagnostics.rs
@@ -1,37 +1,37 @@
-//! Errors in a text, each with its line and what to write instead.
+//! Collects errors in a text with their line numbers.
 
 use std::fmt;
 
 use smol_str::SmolStr;
 
-/// One mistake in a text, shown as `file:line: what is wrong, what to write`.
+/// One error in a text, displayed as `file:line: message`.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}: {message}")]
 pub struct ConfigError {
-    /// The file, or whatever the text came from.
+    /// The file name, or another name for the source of the text.
     pub file: SmolStr,
-    /// The line, counted from 1.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// What is wrong and what to write.
+    /// What is wrong and what is expected.
     pub message: String,
 }
 
-/// All mistakes of a text in the order of its lines, one a line when shown.
+/// All errors in a text, ordered by line and displayed one per line.
 ///
 /// Invariant: never empty, and no longer than [`ConfigErrors::MOST`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ConfigErrors(Vec<ConfigError>);
 
 impl ConfigErrors {
-    /// Mistakes that are kept; a text that is no INI at all can have one in each of its lines.
+    /// Maximum number of errors kept; a text that isn't INI can have one in every line.
     pub const MAX_ERRORS: usize = 100;
 
-    /// The mistakes.
+    /// The errors.
     pub fn as_slice(&self) -> &[ConfigError] {
         &self.0
     }
 
-    /// The mistakes, one after the other.
+    /// Iterates over the errors.
     pub fn iter(&self) -> std::slice::Iter<'_, ConfigError> {
         self.0.iter()
     }
@@ -60,7 +60,7 @@
 
 impl std::error::Error for ConfigErrors {}
 
-/// Gathers mistakes while a text is read.
+/// Collects errors while a text is parsed.
 #[derive(Debug)]
 pub struct Diagnostics {
     file: SmolStr,
@@ -68,7 +68,7 @@
 }
 
 impl Diagnostics {
-    /// None yet, in `file`.
+    /// Creates an empty collection for `file`.
     pub fn new(file: &str) -> Diagnostics {
         Diagnostics {
             file: file.into(),
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Adds one.
+    /// Adds an error.
     pub fn add(&mut self, line: usize, message: impl Into<String>) {
         self.errors.push(ConfigError {
             file: self.file.clone(),
@@ -85,10 +85,10 @@
         });
     }
 
-    /// `value` when nothing was found wrong.
+    /// Returns `value` if there were no errors.
     ///
     /// # Errors
-    /// All that was found.
+    /// All errors, at most [`ConfigErrors::MAX_ERRORS`].
     pub fn finish<T>(mut self, value: T) -> Result<T, ConfigErrors> {
         if self.errors.is_empty() {
             return Ok(value);
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,26 +1,26 @@
-//! An INI text as sections and entries that know their lines.
+//! Splits an INI text into sections and entries with line numbers.
 
 use ini::{Ini, ParseOption};
 use smol_str::SmolStr;
 
 use crate::diagnostics::Diagnostics;
 
-/// Longest text that is read, in bytes; a table row holds it whole.
+/// Maximum size of a text; it is stored in a single table row.
 pub const MAX_TEXT_BYTES: usize = 256 * 1024;
 
 /// One `[...]` section.
 #[derive(Debug)]
 pub struct Section {
-    /// What stands between the brackets, spaces collapsed.
+    /// The text between the brackets, with whitespace collapsed.
     pub name: String,
-    /// Its line.
+    /// Line number, counted from 1.
     pub line: usize,
-    /// Its entries in the order of the text.
+    /// Entries in the order of the text.
     pub entries: Vec<Entry>,
 }
 
 impl Section {
-    /// A section that was left out.
+    /// An omitted section, without entries.
     pub fn empty(name: &str) -> Section {
         Section {
             name: name.to_owned(),
@@ -30,46 +30,46 @@
     }
 }
 
-/// One `key = value`.
+/// One `key = value` entry.
 #[derive(Debug)]
 pub struct Entry {
-    /// Left of the sign, trimmed.
+    /// The text before the separator, trimmed.
     pub key: SmolStr,
-    /// Right of the sign, trimmed.
+    /// The text after the separator, trimmed.
     pub value: String,
-    /// Its line.
+    /// Line number, counted from 1.
     pub line: usize,
 }
 
-/// Splits `text` into sections; mistakes go to `problems`.
+/// Splits `text` into sections; errors are added to `diagnostics`.
 ///
-/// The INI library joins a line without `=` with the next one and takes an
-/// indented comment for a key, and it tells no lines. So the lines are checked
-/// one by one first, and only what both agree on is taken.
+/// The INI library joins a line without `=` with the next one, parses an indented
+/// comment as a key and reports no line numbers. So each line is classified first,
+/// and the library's sections and entries are matched with these lines.
 pub fn read_sections(text: &str, diagnostics: &mut Diagnostics) -> Vec<Section> {
     if text.len() > MAX_TEXT_BYTES {
         diagnostics.add(
             1,
             format!(
-                "the text has {} bytes, write at most {MAX_TEXT_BYTES}",
+                "the text has {} bytes, the limit is {MAX_TEXT_BYTES}",
                 text.len()
             ),
         );
         return Vec::new();
     }
     let lines = scan(text, diagnostics);
-    let clean: Vec<&str> = lines.iter().map(Line::text).collect();
-    let option = ParseOption {
+    let cleaned: Vec<&str> = lines.iter().map(Line::text).collect();
+    let options = ParseOption {
         enabled_quote: false,
         enabled_escape: false,
         ..ParseOption::default()
     };
-    match Ini::load_from_str_opt(&clean.join("\n"), option) {
+    match Ini::load_from_str_opt(&cleaned.join("\n"), options) {
         Ok(ini) => attach_lines(&ini, &lines, diagnostics),
         Err(e) => {
             diagnostics.add(
                 e.line,
-                format!("not INI ({}), write `key = value` lines", e.msg),
+                format!("invalid INI ({}), expected `key = value` lines", e.msg),
             );
             Vec::new()
         }
@@ -78,8 +78,8 @@
 
 /// One line of the text, trimmed.
 enum Line<'a> {
-    /// Blank, a comment, or reported as a mistake.
-    Nothing,
+    /// Blank, a comment or a reported error.
+    Ignored,
     Header(&'a str),
     Entry(&'a str),
 }
@@ -87,7 +87,7 @@
 impl<'a> Line<'a> {
     fn text(&self) -> &'a str {
         match self {
-            Line::Nothing => "",
+            Line::Ignored => "",
             Line::Header(text) | Line::Entry(text) => text,
         }
     }
@@ -98,52 +98,52 @@
     let mut in_section = false;
     let mut lines = Vec::new();
     for (i, line) in text.split('\n').enumerate() {
-        let read = scan_line(line.trim()).unwrap_or_else(|what| {
-            diagnostics.add(i + 1, what);
-            Line::Nothing
+        let scanned = scan_line(line.trim()).unwrap_or_else(|message| {
+            diagnostics.add(i + 1, message);
+            Line::Ignored
         });
-        if matches!(read, Line::Header(_)) {
+        if matches!(scanned, Line::Header(_)) {
             in_section = true;
         }
-        if matches!(read, Line::Entry(_)) && !in_section {
+        if matches!(scanned, Line::Entry(_)) && !in_section {
             diagnostics.add(
                 i + 1,
-                "a key before any section, write a section line like `[fleet]` first",
+                "key outside of a section, add a section header like `[fleet]` first",
             );
         }
-        lines.push(read);
+        lines.push(scanned);
     }
     lines
 }
 
 fn scan_line(line: &str) -> Result<Line<'_>, &'static str> {
     if line.is_empty() || line.starts_with(['#', ';']) {
-        return Ok(Line::Nothing);
+        return Ok(Line::Ignored);
     }
     if line.chars().any(|c| c == '\\' || c.is_control()) {
-        return Err("a backslash or control character, write plain text");
+        return Err("backslash or control character, expected plain text");
     }
     if let Some(inner) = line.strip_prefix('[') {
         return match inner.strip_suffix(']') {
             Some(name) if !name.trim().is_empty() && !name.contains(['[', ']']) => {
                 Ok(Line::Header(line))
             }
-            _ => Err("an unfinished section line, write it as `[kind name]` on one line"),
+            _ => Err("malformed section header, expected `[kind name]` on one line"),
         };
     }
     match line.find(['=', ':']) {
-        Some(0) => Err("a value without its key, write `key = value`"),
+        Some(0) => Err("value without a key, expected `key = value`"),
         Some(_) => Ok(Line::Entry(line)),
-        None => Err("neither a section nor a key, write `key = value`"),
+        None => Err("neither a section header nor a key, expected `key = value`"),
     }
 }
 
 fn attach_lines(ini: &Ini, lines: &[Line<'_>], diagnostics: &mut Diagnostics) -> Vec<Section> {
-    let mut headers = numbered(lines, |l| matches!(l, Line::Header(_)));
-    let mut entries = numbered(lines, |l| matches!(l, Line::Entry(_)));
+    let mut headers = line_numbers(lines, |l| matches!(l, Line::Header(_)));
+    let mut entries = line_numbers(lines, |l| matches!(l, Line::Entry(_)));
     let mut sections = Vec::new();
     for (name, properties) in ini {
-        // Entries before any section were reported by the scan.
+        // Entries outside of a section were reported by the scan.
         let line = name.map(|_| headers.next().unwrap_or(1));
         let entries = properties
             .iter()
@@ -165,19 +165,19 @@
     if headers.next().is_some() || entries.next().is_some() {
         diagnostics.add(
             1,
-            "sections can't be told apart, write each `[section]` on its own line",
+            "ambiguous sections, write each `[section]` on its own line",
         );
     }
     sections
 }
 
-fn numbered<'a>(
+fn line_numbers<'a>(
     lines: &'a [Line<'a>],
-    wanted: impl Fn(&Line<'a>) -> bool + 'a,
+    predicate: impl Fn(&Line<'a>) -> bool + 'a,
 ) -> impl Iterator<Item = usize> + 'a {
     lines
         .iter()
         .enumerate()
-        .filter(move |(_, l)| wanted(l))
+        .filter(move |(_, l)| predicate(l))
         .map(|(i, _)| i + 1)
 }
--- a/crates/config/src/parse.rs
+++ b/crates/config/src/parse.rs
@@ -1,4 +1,4 @@
-//! From the operators' text to a [`Config`].
+//! Parses the configuration text into a [`Config`].
 
 use std::collections::BTreeMap;
 
@@ -14,87 +14,91 @@
 use crate::units::is_valid_name;
 use crate::{config_schema, references};
 
-/// Most sections of one kind; bounds what a text can make every node hold.
+/// Maximum number of sections; bounds the memory that a text takes at every node.
 const MAX_SECTIONS: usize = 10_000;
 
-const NO_KIND: &str = "write [fleet], [tenant NAME], [service NAME], [target HOST] or [node NODE]";
+const EXPECTED_SECTIONS: &str =
+    "expected [fleet], [tenant NAME], [service NAME], [target HOST] or [node NODE]";
 
 impl Config {
-    /// Reads and checks the operators' text; `file` is named in the errors.
+    /// Parses and validates the configuration text; `file` is the file name in errors.
     ///
     /// # Errors
-    /// All mistakes, each with its line and what to write.
+    /// All errors, each with its line and what is expected.
     pub fn parse(text: &str, file: &str) -> Result<Config, ConfigErrors> {
         let mut diagnostics = Diagnostics::new(file);
         let sections = read_sections(text, &mut diagnostics);
-        let mut draft = Draft::default();
+        let mut builder = ConfigBuilder::default();
         for section in sections.iter().take(MAX_SECTIONS) {
-            draft.take_section(section, &mut diagnostics);
+            builder.add_section(section, &mut diagnostics);
         }
         if let Some(section) = sections.get(MAX_SECTIONS) {
             diagnostics.add(
                 section.line,
-                format!("too many sections, write at most {MAX_SECTIONS}"),
+                format!("too many sections, the limit is {MAX_SECTIONS}"),
             );
         }
-        references::check(&draft, &mut diagnostics);
-        diagnostics.finish(draft.config)
+        references::check(&builder, &mut diagnostics);
+        diagnostics.finish(builder.config)
     }
 }
 
-/// A text that is being read: values, and the lines to blame for them.
+/// A configuration under construction, with the line numbers for error messages.
 #[derive(Default)]
-pub(crate) struct Draft {
+pub(crate) struct ConfigBuilder {
     pub(crate) config: Config,
-    /// Line of each section by its name as written.
+    /// Line of each section, by the section's name in the text.
     sections: BTreeMap<String, usize>,
-    /// Lines of a service's references.
+    /// Lines of each service's references.
     pub(crate) lines: BTreeMap<SmolStr, ServiceLines>,
     /// Line of each tenant's token.
     pub(crate) token_lines: BTreeMap<SmolStr, usize>,
 }
 
-/// Where a service names others.
+/// Lines of a service's references to other services.
 pub(crate) struct ServiceLines {
     pub(crate) depends_on: usize,
     pub(crate) base: usize,
 }
 
-impl Draft {
-    /// Whether the text has a section for service `name`, readable or not.
+impl ConfigBuilder {
+    /// Whether the text has a section for service `name`, valid or not.
     pub(crate) fn has_service_section(&self, name: &str) -> bool {
         self.sections.contains_key(&format!("service {name}"))
     }
 
-    fn take_section(&mut self, section: &Section, diagnostics: &mut Diagnostics) {
+    fn add_section(&mut self, section: &Section, diagnostics: &mut Diagnostics) {
         if let Some(first) = self.sections.get(&section.name) {
-            let what = format!("[{}] again after line {first}, write it once", section.name);
-            diagnostics.add(section.line, what);
+            let message = format!(
+                "duplicate section [{}], first defined on line {first}",
+                section.name
+            );
+            diagnostics.add(section.line, message);
             return;
         }
         self.sections.insert(section.name.clone(), section.line);
         let (kind, name) = section.name.split_once(' ').unwrap_or((&section.name, ""));
         match (kind, name) {
-            ("fleet", "") => self.take_fleet(section, diagnostics),
+            ("fleet", "") => self.add_fleet(section, diagnostics),
             ("tenant" | "service" | "target" | "node", name) if !is_valid_name(name) => {
-                let what = format!(
-                    "[{}] has no usable name, write [{kind} NAME] with letters, digits, `.`, `_` and `-`",
+                let message = format!(
+                    "[{}] has an invalid name, expected [{kind} NAME] with letters, digits, `.`, `_` and `-`",
                     section.name
                 );
-                diagnostics.add(section.line, what);
+                diagnostics.add(section.line, message);
             }
-            ("tenant", name) => self.take_tenant(name.into(), section, diagnostics),
-            ("service", name) => self.take_service(name.into(), section, diagnostics),
-            ("target", name) => self.take_target(name.into(), section, diagnostics),
-            ("node", name) => self.take_node(name.into(), section, diagnostics),
+            ("tenant", name) => self.add_tenant(name.into(), section, diagnostics),
+            ("service", name) => self.add_service(name.into(), section, diagnostics),
+            ("target", name) => self.add_target(name.into(), section, diagnostics),
+            ("node", name) => self.add_node(name.into(), section, diagnostics),
             _ => diagnostics.add(
                 section.line,
-                format!("[{}] is unknown, {NO_KIND}", section.name),
+                format!("unknown section [{}], {EXPECTED_SECTIONS}", section.name),
             ),
         }
     }
 
-    fn take_fleet(&mut self, section: &Section, diagnostics: &mut Diagnostics) {
+    fn add_fleet(&mut self, section: &Section, diagnostics: &mut Diagnostics) {
         let reader = SectionReader::new(section, &[config_schema::FLEET], diagnostics);
         self.config.repair = match reader.choice("repair", diagnostics) {
             "stranded" => RepairObjective::Stranded,
@@ -102,7 +106,7 @@
         };
     }
 
-    fn take_tenant(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
+    fn add_tenant(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
         let reader = SectionReader::new(section, &[config_schema::TENANT], diagnostics);
         let tenant = Tenant {
             name: name.clone(),
@@ -117,7 +121,7 @@
         self.config.tenants.insert(name, tenant);
     }
 
-    fn take_target(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
+    fn add_target(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
         let reader = SectionReader::new(section, &[config_schema::TARGET], diagnostics);
         let options = TargetOptions {
             checks_orders: reader.boolean("checks_orders", diagnostics),
@@ -126,7 +130,7 @@
         self.config.targets.insert(name, options);
     }
 
-    fn take_node(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
+    fn add_node(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
         let reader = SectionReader::new(section, &[config_schema::NODE], diagnostics);
         let options = NodeOptions {
             drain: reader.boolean("drain", diagnostics),
@@ -134,17 +138,17 @@
         self.config.nodes.insert(name, options);
     }
 
-    fn take_service(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
+    fn add_service(&mut self, name: SmolStr, section: &Section, diagnostics: &mut Diagnostics) {
         let Some(kind_entry) = section
             .entries
             .iter()
             .find(|e| e.key == config_schema::KIND)
         else {
-            let what = format!(
-                "[{}] has no `kind`, write model, plain or adapter",
+            let message = format!(
+                "[{}] is missing the required key `kind`, expected model, plain or adapter",
                 section.name
             );
-            diagnostics.add(section.line, what);
+            diagnostics.add(section.line, message);
             return;
         };
         let kind_keys = match kind_entry.value.as_str() {
@@ -152,9 +156,10 @@
             "plain" => config_schema::PLAIN,
             "adapter" => config_schema::ADAPTER,
             other => {
-                let shown: String = other.chars().take(80).collect();
-                let what = format!("`kind = {shown}` can't be, write model, plain or adapter");
-                diagnostics.add(kind_entry.line, what);
+                let value: String = other.chars().take(80).collect();
+                let message =
+                    format!("`kind = {value}` is invalid, expected model, plain or adapter");
+                diagnostics.add(kind_entry.line, message);
                 return;
             }
         };
@@ -184,8 +189,8 @@
     reader: &SectionReader<'_>,
     diagnostics: &mut Diagnostics,
 ) -> Service {
-    // A plain service's calls may have effects outside of the system, so
-    // running one twice must be asked for.
+    // Calls of a plain service may have external side effects, so retries are
+    // opt-in.
     let repeatable_default = !matches!(kind, ServiceKind::Plain { .. });
     Service {
         name,
@@ -210,12 +215,13 @@
         .optional_number("urgent_slots", diagnostics)
         .unwrap_or(slots / 8);
     if floor > groups {
-        let what = format!("`floor` is above `groups`, write at most {groups}");
-        diagnostics.add(reader.line("floor"), what);
+        let message = format!("`floor` exceeds `groups`, expected at most {groups}");
+        diagnostics.add(reader.line("floor"), message);
     }
     if urgent_slots >= slots {
-        let what = format!("`urgent_slots` leaves no slot for the rest, write less than {slots}");
-        diagnostics.add(reader.line("urgent_slots"), what);
+        let message =
+            format!("`urgent_slots` leaves no slot for other requests, expected less than {slots}");
+        diagnostics.add(reader.line("urgent_slots"), message);
     }
     ModelService {
         model: reader.name("model", diagnostics),
--- a/crates/config/src/references.rs
+++ b/crates/config/src/references.rs
@@ -1,4 +1,4 @@
-//! Checks of what services and tenants say about each other.
+//! Validates references between services and the uniqueness of tenant tokens.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,44 +6,44 @@
 
 use crate::diagnostics::Diagnostics;
 use crate::model::{Service, ServiceKind};
-use crate::parse::Draft;
+use crate::parse::ConfigBuilder;
 
-pub(crate) fn check(draft: &Draft, diagnostics: &mut Diagnostics) {
-    check_tokens(draft, diagnostics);
-    for service in draft.config.services.values() {
-        check_names(draft, service, diagnostics);
+pub(crate) fn check(builder: &ConfigBuilder, diagnostics: &mut Diagnostics) {
+    check_tokens(builder, diagnostics);
+    for service in builder.config.services.values() {
+        check_references(builder, service, diagnostics);
     }
-    check_cycles(draft, diagnostics);
+    check_cycles(builder, diagnostics);
 }
 
-/// Two tenants with one token couldn't be told apart by their requests.
-fn check_tokens(draft: &Draft, diagnostics: &mut Diagnostics) {
+/// A request's token must identify a single tenant.
+fn check_tokens(builder: &ConfigBuilder, diagnostics: &mut Diagnostics) {
     let mut owners: BTreeMap<&str, &str> = BTreeMap::new();
-    for tenant in draft
+    for tenant in builder
         .config
         .tenants
         .values()
         .filter(|t| !t.token_sha256.is_empty())
     {
         if let Some(other) = owners.insert(&tenant.token_sha256, &tenant.name) {
-            let line = draft.token_lines[&tenant.name];
-            let what = format!("tenant {other} has the same token, write each tenant's own");
-            diagnostics.add(line, what);
+            let line = builder.token_lines[&tenant.name];
+            let message = format!("tenant {other} has the same token, each tenant needs its own");
+            diagnostics.add(line, message);
         }
     }
 }
 
-fn check_names(draft: &Draft, service: &Service, diagnostics: &mut Diagnostics) {
-    let services = &draft.config.services;
-    let lines = &draft.lines[&service.name];
+fn check_references(builder: &ConfigBuilder, service: &Service, diagnostics: &mut Diagnostics) {
+    let services = &builder.config.services;
+    let lines = &builder.lines[&service.name];
     for name in service
         .depends_on
         .iter()
         .filter(|n| !services.contains_key(*n))
     {
-        let what =
-            format!("no service {name} in this text, write one that is or add [service {name}]");
-        diagnostics.add(lines.depends_on, what);
+        let message =
+            format!("unknown service {name}, use an existing one or add [service {name}]");
+        diagnostics.add(lines.depends_on, message);
     }
     let ServiceKind::Adapter { base, .. } = &service.kind else {
         return;
@@ -55,48 +55,48 @@
         Some(ServiceKind::Model(_)) => {}
         Some(_) => diagnostics.add(
             lines.base,
-            format!("{base} is no model service, write one that is"),
+            format!("{base} is not a model service, `base` must name one"),
         ),
-        // Its own mistake is told at its own line.
-        None if draft.has_service_section(base) => {}
+        // The errors of that section were already reported.
+        None if builder.has_service_section(base) => {}
         None => {
-            let what = format!("no service {base} in this text, write a model service of it");
-            diagnostics.add(lines.base, what);
+            let message = format!("unknown service {base}, `base` must name a model service");
+            diagnostics.add(lines.base, message);
         }
     }
 }
 
-/// Services in a cycle wait for each other and none of them would ever serve.
-fn check_cycles(draft: &Draft, diagnostics: &mut Diagnostics) {
-    let services = &draft.config.services;
+/// Reports dependency cycles: their services would wait for each other forever.
+fn check_cycles(builder: &ConfigBuilder, diagnostics: &mut Diagnostics) {
+    let services = &builder.config.services;
     let mut done: BTreeSet<&SmolStr> = BTreeSet::new();
     for start in services.keys() {
         let mut path: Vec<(&SmolStr, Vec<&SmolStr>)> = Vec::new();
         if !done.contains(start) {
-            path.push((start, needs(&services[start])));
+            path.push((start, dependencies(&services[start])));
         }
-        // Depth first with a list of its own: a long chain in the text must not
-        // run out of call stack.
-        while let Some((name, todo)) = path.last_mut() {
-            let Some(next) = todo.pop() else {
+        // Depth-first search with an explicit stack: a long dependency chain must
+        // not overflow the call stack.
+        while let Some((name, pending)) = path.last_mut() {
+            let Some(next) = pending.pop() else {
                 done.insert(name);
                 path.pop();
                 continue;
             };
             if let Some(at) = path.iter().position(|(n, _)| *n == next) {
                 report_cycle(
-                    draft,
+                    builder,
                     path[at..].iter().map(|(n, _)| *n).collect(),
                     diagnostics,
                 );
             } else if !done.contains(next) && services.contains_key(next) {
-                path.push((next, needs(&services[next])));
+                path.push((next, dependencies(&services[next])));
             }
         }
     }
 }
 
-fn needs(service: &Service) -> Vec<&SmolStr> {
+fn dependencies(service: &Service) -> Vec<&SmolStr> {
     let base = match &service.kind {
         ServiceKind::Adapter { base, .. } => Some(base),
         _ => None,
@@ -104,20 +104,17 @@
     service.depends_on.iter().chain(base).collect()
 }
 
-fn report_cycle(draft: &Draft, cycle: Vec<&SmolStr>, diagnostics: &mut Diagnostics) {
+fn report_cycle(builder: &ConfigBuilder, cycle: Vec<&SmolStr>, diagnostics: &mut Diagnostics) {
     let (first, last) = (cycle[0], cycle[cycle.len() - 1]);
-    let mut shown: Vec<&str> = cycle.iter().map(|n| n.as_str()).collect();
-    shown.push(first);
-    let lines = &draft.lines[last];
-    let by_list = draft.config.services[last].depends_on.contains(first);
-    let line = if by_list {
+    let mut names: Vec<&str> = cycle.iter().map(|n| n.as_str()).collect();
+    names.push(first);
+    let lines = &builder.lines[last];
+    let in_depends_on = builder.config.services[last].depends_on.contains(first);
+    let line = if in_depends_on {
         lines.depends_on
     } else {
         lines.base
     };
-    let what = format!(
-        "{} need each other in a cycle, break it here",
-        shown.join(" -> ")
-    );
-    diagnostics.add(line, what);
+    let message = format!("dependency cycle {}, break it here", names.join(" -> "));
+    diagnostics.add(line, message);
 }
--- a/crates/config/src/section_reader.rs
+++ b/crates/config/src/section_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the entries of one section by its table of keys.
+//! Reads and validates the entries of one section by its schema.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,11 +10,11 @@
 use crate::schema::{Key, Presence, ValueType};
 use crate::units::{is_valid_name, parse_duration};
 
-/// One section under its keys.
+/// Typed access to the entries of one section.
 ///
-/// Each getter reports what is wrong and then returns a value within the key's
-/// limits, so that one mistake doesn't hide the next; such values never get
-/// out, because a reader with problems yields no result.
+/// Each getter reports an invalid value and returns a placeholder, so that one
+/// error doesn't hide the next. Placeholders are never used, because
+/// [`Diagnostics::finish`] returns the errors instead.
 #[derive(Debug)]
 pub struct SectionReader<'a> {
     section: &'a Section,
@@ -22,7 +22,7 @@
 }
 
 impl<'a> SectionReader<'a> {
-    /// Checks the entries' names against `tables`; unknown, repeated and missing ones are reported.
+    /// Checks the entries against the keys of `tables`; unknown, duplicate and missing keys are reported.
     pub fn new(
         section: &'a Section,
         tables: &[&'static [Key]],
@@ -30,28 +30,28 @@
     ) -> SectionReader<'a> {
         let keys: Vec<&'static Key> = tables.iter().flat_map(|t| t.iter()).collect();
         let reader = SectionReader { section, keys };
-        reader.check_names(diagnostics);
+        reader.check_keys(diagnostics);
         reader.check_required(diagnostics);
         reader
     }
 
-    fn check_names(&self, diagnostics: &mut Diagnostics) {
+    fn check_keys(&self, diagnostics: &mut Diagnostics) {
         for (i, entry) in self.section.entries.iter().enumerate() {
             let name = &entry.key;
             if !self.keys.iter().any(|k| k.name == *name) {
                 let known: Vec<&str> = self.keys.iter().map(|k| k.name).collect();
-                let what = format!(
-                    "`{name}` is no key of [{}] here, write one of {}",
+                let message = format!(
+                    "unknown key `{name}` in [{}], expected one of {}",
                     self.section.name,
                     known.join(", ")
                 );
-                diagnostics.add(entry.line, what);
+                diagnostics.add(entry.line, message);
             }
             if let Some(first) = self.section.entries[..i].iter().find(|e| e.key == *name) {
                 let line = first.line;
                 diagnostics.add(
                     entry.line,
-                    format!("`{name}` again after line {line}, write it once"),
+                    format!("duplicate key `{name}`, first set on line {line}"),
                 );
             }
         }
@@ -60,14 +60,14 @@
     fn check_required(&self, diagnostics: &mut Diagnostics) {
         for key in &self.keys {
             if key.presence == Presence::Required && self.entry(key.name).is_none() {
-                let what = format!(
-                    "[{}] has no `{}`, write `{} = ...` with {}",
+                let message = format!(
+                    "[{}] is missing the required key `{}`, add `{} = ...` with {}",
                     self.section.name,
                     key.name,
                     key.name,
                     key.value_type.describe()
                 );
-                diagnostics.add(self.section.line, what);
+                diagnostics.add(self.section.line, message);
             }
         }
     }
@@ -78,15 +78,15 @@
 
     fn key(&self, name: &str) -> &'static Key {
         let found = self.keys.iter().find(|k| k.name == name);
-        found.expect("the code asks only for keys of its own table")
+        found.expect("`name` is a key of the schema")
     }
 
-    /// The line to blame for `name`: its own, or the section's when it is left out.
+    /// The line of `name`, or that of the section if the key is omitted.
     pub fn line(&self, name: &str) -> usize {
         self.entry(name).map_or(self.section.line, |e| e.line)
     }
 
-    /// What is written for `name`, or its default.
+    /// The text of `name`, or its default.
     fn text(&self, name: &str) -> Option<&'a str> {
         if let Some(entry) = self.entry(name) {
             return Some(&entry.value);
@@ -97,7 +97,7 @@
         }
     }
 
-    /// The value of `name` by `parse`; `None` when it is left out or wrong.
+    /// The value of `name`, converted by `parse`; `None` if omitted or invalid.
     fn value<T>(
         &self,
         name: &str,
@@ -109,37 +109,37 @@
         let value = parse(text, value_type);
         if value.is_none() {
             let shown: String = text.chars().take(80).collect();
-            let what = format!(
-                "`{name} = {shown}` can't be, write {}",
+            let message = format!(
+                "`{name} = {shown}` is invalid, expected {}",
                 value_type.describe()
             );
-            diagnostics.add(self.line(name), what);
+            diagnostics.add(self.line(name), message);
         }
         value
     }
 
-    /// A whole number; `None` when it is left out or wrong.
+    /// A whole number; `None` if omitted or invalid.
     pub fn optional_number(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<u32> {
         self.value(name, diagnostics, |text, value_type| {
             let ValueType::Number { min, max } = value_type else {
                 return None;
             };
             let number: u64 = text.parse().ok()?;
-            let in_limits = (*min..=*max).contains(&number);
-            in_limits.then_some(u32::try_from(number).ok()?)
+            let in_range = (*min..=*max).contains(&number);
+            in_range.then_some(u32::try_from(number).ok()?)
         })
     }
 
-    /// A whole number; the lowest allowed when wrong.
+    /// A whole number; the minimum if invalid.
     pub fn number(&self, name: &str, diagnostics: &mut Diagnostics) -> u32 {
         let ValueType::Number { min, .. } = self.key(name).value_type else {
             return 0;
         };
-        let lowest = u32::try_from(min).unwrap_or(u32::MAX);
-        self.optional_number(name, diagnostics).unwrap_or(lowest)
+        let minimum = u32::try_from(min).unwrap_or(u32::MAX);
+        self.optional_number(name, diagnostics).unwrap_or(minimum)
     }
 
-    /// A number with decimals; zero when wrong.
+    /// A decimal number; zero if invalid.
     pub fn decimal(&self, name: &str, diagnostics: &mut Diagnostics) -> f64 {
         let found = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Decimal { max } = value_type else {
@@ -151,7 +151,7 @@
         found.unwrap_or_default()
     }
 
-    /// A duration.
+    /// A duration; zero if invalid.
     pub fn duration(&self, name: &str, diagnostics: &mut Diagnostics) -> Duration {
         let found = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Duration { min, max } = value_type else {
@@ -162,7 +162,7 @@
         found.unwrap_or_default()
     }
 
-    /// The chosen word, always one of the key's; the first one when wrong.
+    /// One of the key's choices; the first one if invalid.
     pub fn choice(&self, name: &str, diagnostics: &mut Diagnostics) -> &'static str {
         let ValueType::Choice(words) = self.key(name).value_type else {
             return "";
@@ -173,7 +173,7 @@
         found.unwrap_or(&words[0])
     }
 
-    /// A `yes` or `no`; `None` when it is left out or wrong.
+    /// A `yes` or `no`; `None` if omitted or invalid.
     pub fn optional_boolean(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<bool> {
         self.value(name, diagnostics, |text, _| match text {
             "yes" => Some(true),
@@ -182,12 +182,12 @@
         })
     }
 
-    /// A `yes` or `no`.
+    /// A `yes` or `no`; the first choice if invalid.
     pub fn boolean(&self, name: &str, diagnostics: &mut Diagnostics) -> bool {
         self.choice(name, diagnostics) == "yes"
     }
 
-    /// A name; empty when wrong.
+    /// A name; empty if invalid.
     pub fn name(&self, name: &str, diagnostics: &mut Diagnostics) -> SmolStr {
         let found = self.value(name, diagnostics, |text, _| {
             is_valid_name(text).then(|| text.into())
@@ -195,27 +195,24 @@
         found.unwrap_or_default()
     }
 
-    /// A list of names, each once.
+    /// A list of names without duplicates; empty if invalid.
     pub fn names(&self, name: &str, diagnostics: &mut Diagnostics) -> Vec<SmolStr> {
         let found = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Names { max } = value_type else {
                 return None;
             };
             let names = split_list(text);
-            let all = names.iter().all(|n| is_valid_name(n)) && names.len() <= *max;
-            all.then(|| names.iter().map(SmolStr::new).collect::<Vec<_>>())
+            let valid = names.iter().all(|n| is_valid_name(n)) && names.len() <= *max;
+            valid.then(|| names.iter().map(SmolStr::new).collect::<Vec<_>>())
         });
         let names = found.unwrap_or_default();
-        if let Some(twice) = first_repeated(&names) {
-            diagnostics.add(
-                self.line(name),
-                format!("`{name}` has {twice} twice, write it once"),
-            );
+        if let Some(duplicate) = first_duplicate(&names) {
+            diagnostics.add(self.line(name), format!("`{name}` lists {duplicate} twice"));
         }
         names
     }
 
-    /// A SHA-256 in lower-case digits.
+    /// A SHA-256 in lower-case hexadecimal digits; `None` if omitted or invalid.
     pub fn sha256(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<SmolStr> {
         self.value(name, diagnostics, |text, _| {
             let digits = text.len() == 64 && text.bytes().all(|b| b.is_ascii_hexdigit());
@@ -223,26 +220,26 @@
         })
     }
 
-    /// A numeric `IP:PORT`.
+    /// A numeric `IP:PORT`; `None` if omitted or invalid.
     pub fn address(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<SocketAddr> {
         self.value(name, diagnostics, |text, _| text.parse().ok())
     }
 
-    /// A list of numeric `IP:PORT`s.
+    /// A list of numeric `IP:PORT`s; empty if invalid.
     pub fn addresses(&self, name: &str, diagnostics: &mut Diagnostics) -> Vec<SocketAddr> {
         let found = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Addresses { max } = value_type else {
                 return None;
             };
             let items = split_list(text);
-            let within = items.len() <= *max;
+            let in_range = items.len() <= *max;
             let parsed: Option<Vec<SocketAddr>> = items.iter().map(|a| a.parse().ok()).collect();
-            parsed.filter(|_| within)
+            parsed.filter(|_| in_range)
         });
         found.unwrap_or_default()
     }
 
-    /// The path of a file.
+    /// A file path; `None` if omitted or empty.
     pub fn path(&self, name: &str, diagnostics: &mut Diagnostics) -> Option<String> {
         self.value(name, diagnostics, |text, _| {
             (!text.is_empty()).then(|| text.to_owned())
@@ -257,7 +254,7 @@
     text.split(',').map(str::trim).collect()
 }
 
-fn first_repeated(names: &[SmolStr]) -> Option<&SmolStr> {
+fn first_duplicate(names: &[SmolStr]) -> Option<&SmolStr> {
     names
         .iter()
         .enumerate()
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -4,29 +4,29 @@
 use crate::document::{Section, read_sections};
 use crate::schema::SectionKeys;
 
-/// The sections of a settings text, each once; one that is left out is empty.
+/// The sections of a settings text, without duplicates; an omitted section is empty.
 #[derive(Debug)]
 pub struct Sections {
     found: Vec<Section>,
 }
 
 impl Sections {
-    /// Splits `text` into the sections of `known`; unknown and repeated ones are reported.
+    /// Parses `text` into the sections of `known`; unknown and duplicate ones are reported.
     pub fn read(text: &str, known: &[SectionKeys], diagnostics: &mut Diagnostics) -> Sections {
         let mut found: Vec<Section> = Vec::new();
         for section in read_sections(text, diagnostics) {
             if let Some(first) = found.iter().find(|s| s.name == section.name) {
                 let (name, line) = (&section.name, first.line);
-                let what = format!("[{name}] again after line {line}, write it once");
-                diagnostics.add(section.line, what);
+                let message = format!("duplicate section [{name}], first defined on line {line}");
+                diagnostics.add(section.line, message);
             } else if !known.iter().any(|k| k.name() == section.name) {
                 let names: Vec<&str> = known.iter().map(|k| k.section).collect();
-                let what = format!(
-                    "[{}] is unknown, write one of {}",
+                let message = format!(
+                    "unknown section [{}], expected one of {}",
                     section.name,
                     names.join(", ")
                 );
-                diagnostics.add(section.line, what);
+                diagnostics.add(section.line, message);
             } else {
                 found.push(section);
             }
@@ -39,9 +39,9 @@
         Sections { found }
     }
 
-    /// A section by name.
+    /// Returns the section `name`.
     pub fn get(&self, name: &str) -> &Section {
         let found = self.found.iter().find(|s| s.name == name);
-        found.expect("the code asks only for sections of its own table")
+        found.expect("`name` is a section of `known`")
     }
 }
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parse.rs
@@ -1,4 +1,4 @@
-//! What a text says, and what is said of a wrong one.
+//! Tests of parsing valid texts and of the errors for invalid ones.
 
 mod common;
 
@@ -9,12 +9,12 @@
 
 fn errors(text: &str) -> String {
     Config::parse(text, "fleet.ini")
-        .expect_err("a wrong text")
+        .expect_err("an invalid text")
         .to_string()
 }
 
 #[gtest]
-fn defaults_fill_what_is_left_out() {
+fn omitted_keys_have_defaults() {
     let config = Config::parse(TEXT, "fleet.ini").unwrap();
     let ServiceKind::Model(model) = &config.services["reply"].kind else {
         panic!("a model service")
@@ -29,7 +29,7 @@
 }
 
 #[gtest]
-fn all_mistakes_are_told_at_once_with_their_lines() {
+fn all_errors_are_reported_with_line_numbers() {
     let text = "\
 weight = 1
 [fleet]
@@ -65,7 +65,7 @@
 }
 
 #[gtest]
-fn references_must_exist_and_have_no_cycle() {
+fn missing_references_and_cycles_are_reported() {
     let text = "\
 [service a]
 kind = plain
@@ -111,7 +111,7 @@
 }
 
 #[gtest]
-fn a_long_chain_is_read_and_a_huge_text_is_not() {
+fn long_dependency_chain_parses_and_oversized_text_is_rejected() {
     let mut chain = String::from("[service s0]\nkind = plain\ntargets = h\n");
     for i in 1..2_000 {
         chain += &format!(
@@ -120,15 +120,15 @@
         );
     }
     expect_that!(Config::parse(&chain, "f"), ok(anything()));
-    let huge = "#".repeat(MAX_TEXT_BYTES + 1);
-    insta::assert_snapshot!(errors(&huge));
+    let oversized = "#".repeat(MAX_TEXT_BYTES + 1);
+    insta::assert_snapshot!(errors(&oversized));
     let garbage = "garbage\n".repeat(10_000);
     let found = Config::parse(&garbage, "f").unwrap_err();
     expect_that!(found.as_slice().len(), eq(ConfigErrors::MAX_ERRORS));
 }
 
 #[gtest]
-fn line_ends_indents_and_colons_do_not_matter() {
+fn line_endings_indentation_and_colons_are_equivalent() {
     let text = TEXT.replace('\n', "\r\n  ").replace(" = ", ":");
     expect_that!(
         Config::parse(&text, "f").unwrap(),
@@ -137,7 +137,7 @@
 }
 
 #[gtest]
-fn no_text_makes_the_parser_panic() {
+fn parser_never_panics() {
     let piece = prop_oneof![
         Just("[service s]\n".to_owned()),
         Just("kind = model\n".to_owned()),
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -25,11 +25,11 @@
     let line = |n, what: &str| format!("eelgrassmill: {path}:{n}: {what}\n");
     let first = line(
         5,
-        "`groups = two` can't be, write a whole number from 0 to 1000",
+        "`groups = two` is invalid, expected a whole number from 0 to 1000",
     );
     let second = line(
         6,
-        "`hosts_per_group = two` can't be, write a whole number from 1 to 64",
+        "`hosts_per_group = two` is invalid, expected a whole number from 1 to 64",
     );
     expect_that!(checked.err, eq(&format!("{first}{second}")));
     let missing = run(&["config", "check", "/nonexistent.ini"]);
--- a/crates/node/tests/admin.rs
+++ b/crates/node/tests/admin.rs
@@ -328,7 +328,7 @@
     let errors = problem(&wrong).errors;
     expect_that!(
         errors,
-        elements_are![starts_with("text:2: `kind = odd` can't be")]
+        elements_are![starts_with("text:2: `kind = odd` is invalid")]
     );
     let changes = port.post("/admin/v1/config/diff", &TEXT.replace("h1", "h2"));
     expect_that!(changes.body, contains_substring(r#""from":"h1","to":"h2""#));
