--- a/crates/config/examples/sizes.rs
+++ b/crates/config/examples/sizes.rs
@@ -1,4 +1,4 @@
-//! What a text costs as a fleet grows: bytes, and time to read, compare and accept it.
+//! Benchmarks text size and the time to parse, diff, accept and checksum a text by fleet size.
 //!
 //! `cargo run --release -p eelgrassmill-config --example sizes`
 
@@ -8,13 +8,13 @@
 
 use eelgrassmill_config::{Config, Decision, Submit, checksum, decide_submit, diff};
 
-/// Model groups of each service.
+/// Model groups per service.
 const GROUPS_PER_SERVICE: usize = 5;
 const ROUNDS: u32 = 20;
 
 fn main() {
     println!("groups  hosts  tenants   text B    row B    read  compare   accept  checksum");
-    // A tenth, a third and the whole of the size that is aimed at.
+    // A tenth, a third and the whole of the target fleet size.
     for (groups, hosts, tenants) in [(11, 88, 10), (37, 293, 33), (110, 880, 100)] {
         measure(groups, hosts, tenants);
     }
@@ -23,8 +23,8 @@
 fn measure(groups: usize, hosts: usize, tenants: usize) {
     let text = text(groups, hosts, tenants);
     let changed = text.replace("version = v1", "version = v2");
-    let old = Config::parse(&text, "old").expect("a right text");
-    let new = Config::parse(&changed, "new").expect("a right text");
+    let old = Config::parse(&text, "old").expect("a valid text");
+    let new = Config::parse(&changed, "new").expect("a valid text");
     let first = Submit {
         id: "s-1".into(),
         base: 0,
@@ -32,7 +32,7 @@
         text: text.clone(),
     };
     let Decision::Accept(accepted) = decide_submit(None, None, &first) else {
-        unreachable!("nothing to conflict with")
+        unreachable!("no concurrent submission")
     };
     let row = accepted.writes[0].value.as_ref().map_or(0, String::len);
     let second = Submit {
@@ -45,19 +45,19 @@
     println!(
         "{groups:6} {hosts:6} {tenants:8} {:8} {row:8} {:7} {:8} {:8} {:9}",
         text.len(),
-        micros(|| drop(black_box(Config::parse(&text, "text")))),
-        micros(|| drop(black_box(diff(&old, &new)))),
-        micros(|| drop(black_box(decide_submit(current, None, &second)))),
-        micros(|| drop(black_box(checksum(&text)))),
+        min_micros(|| drop(black_box(Config::parse(&text, "text")))),
+        min_micros(|| drop(black_box(diff(&old, &new)))),
+        min_micros(|| drop(black_box(decide_submit(current, None, &second)))),
+        min_micros(|| drop(black_box(checksum(&text)))),
     );
 }
 
-/// The shortest of some rounds, as `N us`: what disturbs a round only makes it longer.
-fn micros(mut work: impl FnMut()) -> String {
+/// Minimum over all rounds, as `Nus`; noise can only lengthen a round.
+fn min_micros(mut run: impl FnMut()) -> String {
     let mut best = Duration::MAX;
     for _ in 0..ROUNDS {
         let start = Instant::now();
-        work();
+        run();
         best = best.min(start.elapsed());
     }
     format!("{}us", best.as_micros())
--- a/crates/config/tests/accept_fuzz.rs
+++ b/crates/config/tests/accept_fuzz.rs
@@ -1,4 +1,4 @@
-//! Acceptance under any order of submissions, repeats, lost answers and late writes.
+//! Property test: acceptance under any order of submissions, retries, lost responses and delayed writes.
 
 mod common;
 
@@ -14,83 +14,86 @@
 
 const OPERATORS: usize = 3;
 
-/// What the table does with a transaction.
+/// Outcome of a transaction at the table.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// Commits it if its conditions hold, and answers.
-    Answered,
-    /// The same, but the answer is lost.
-    AnswerLost,
-    /// Gives no answer and may commit it at any later time.
-    Late,
-    /// Refuses it for good.
-    Refused,
+enum TxnOutcome {
+    /// Commits if its conditions hold, and responds.
+    Responded,
+    /// Commits if its conditions hold, but the response is lost.
+    ResponseLost,
+    /// Doesn't respond, and may commit at any later time.
+    Delayed,
+    /// Never commits.
+    Rejected,
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// An operator looks at the accepted version and starts a new submission from it.
-    Look(usize),
-    /// An operator submits, or repeats its submission, through some node.
-    Submit(usize, Fate),
-    /// One of the late transactions reaches the table now.
-    Arrive(usize),
+    /// An operator reads the accepted version and bases a new submission on it.
+    Read(usize),
+    /// An operator submits, or retries its submission, through any node.
+    Submit(usize, TxnOutcome),
+    /// A delayed transaction reaches the table.
+    Deliver(usize),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let fate = prop_oneof![
-        3 => Just(Fate::Answered),
-        2 => Just(Fate::AnswerLost),
-        2 => Just(Fate::Late),
-        1 => Just(Fate::Refused),
+    let outcome = prop_oneof![
+        3 => Just(TxnOutcome::Responded),
+        2 => Just(TxnOutcome::ResponseLost),
+        2 => Just(TxnOutcome::Delayed),
+        1 => Just(TxnOutcome::Rejected),
     ];
     prop_oneof![
-        2 => (0..OPERATORS).prop_map(Step::Look),
-        4 => (0..OPERATORS, fate).prop_map(|(operator, fate)| Step::Submit(operator, fate)),
-        2 => any::<usize>().prop_map(Step::Arrive),
+        2 => (0..OPERATORS).prop_map(Step::Read),
+        4 => (0..OPERATORS, outcome).prop_map(|(operator, outcome)| Step::Submit(operator, outcome)),
+        2 => any::<usize>().prop_map(Step::Deliver),
     ]
 }
 
-/// The table, the operators, and what they were told.
+/// The table, the operators and the results reported to them.
 #[derive(Default)]
-struct World {
+struct Simulation {
     rows: Rows,
-    late: Vec<Vec<RowWrite>>,
-    /// The submission that each version came from: the oracle.
+    delayed: Vec<Vec<RowWrite>>,
+    /// The submission of each version, used as the oracle.
     history: Vec<SmolStr>,
-    /// Number of the submission and version looked at, by operator.
-    open: BTreeMap<usize, (usize, u64)>,
-    /// The version that each submission was made from.
+    /// Submission number and base version, by operator.
+    pending: BTreeMap<usize, (usize, u64)>,
+    /// Base version of each submission.
     bases: BTreeMap<SmolStr, u64>,
-    told_accepted: BTreeMap<SmolStr, u64>,
-    told_conflict: Vec<SmolStr>,
+    reported_accepted: BTreeMap<SmolStr, u64>,
+    reported_conflict: Vec<SmolStr>,
     submissions: usize,
 }
 
-impl World {
+impl Simulation {
     fn current(&self) -> Option<(u64, CurrentRow)> {
         self.rows.read(CURRENT_KEY)
     }
 
-    fn take(&mut self, step: &Step) -> std::result::Result<(), TestCaseError> {
+    fn run_step(&mut self, step: &Step) -> std::result::Result<(), TestCaseError> {
         match *step {
-            Step::Look(operator) => {
+            Step::Read(operator) => {
                 self.submissions += 1;
                 let version = self.current().map_or(0, |(_, row)| row.version);
-                self.open.insert(operator, (self.submissions, version));
+                self.pending.insert(operator, (self.submissions, version));
             }
-            Step::Submit(operator, fate) => self.submit(operator, fate),
-            Step::Arrive(any) if !self.late.is_empty() => {
-                let writes = self.late.swap_remove(any % self.late.len());
+            Step::Submit(operator, outcome) => self.submit(operator, outcome),
+            Step::Deliver(any) if !self.delayed.is_empty() => {
+                let writes = self.delayed.swap_remove(any % self.delayed.len());
                 self.rows.commit(&writes);
             }
-            Step::Arrive(_) => {}
+            Step::Deliver(_) => {}
         }
         self.check()
     }
 
-    fn submit(&mut self, operator: usize, fate: Fate) {
-        let (number, base) = *self.open.entry(operator).or_insert((1_000 + operator, 0));
+    fn submit(&mut self, operator: usize, outcome: TxnOutcome) {
+        let (number, base) = *self
+            .pending
+            .entry(operator)
+            .or_insert((1_000 + operator, 0));
         let id: SmolStr = format!("s-{number}").into();
         self.bases.insert(id.clone(), base);
         let author = format!("operator-{operator}").into();
@@ -103,25 +106,25 @@
         let current = self.current();
         let current = current.as_ref().map(|(version, row)| (*version, row));
         match decide_submit(current, None, &submit) {
-            Decision::Accept(a) => match fate {
-                Fate::Answered if self.rows.commit(&a.writes) => {
-                    self.told_accepted.insert(id, a.version);
+            Decision::Accept(a) => match outcome {
+                TxnOutcome::Responded if self.rows.commit(&a.writes) => {
+                    self.reported_accepted.insert(id, a.version);
                 }
-                Fate::AnswerLost => {
+                TxnOutcome::ResponseLost => {
                     self.rows.commit(&a.writes);
                 }
-                Fate::Late => self.late.push(a.writes.clone()),
-                Fate::Answered | Fate::Refused => {}
+                TxnOutcome::Delayed => self.delayed.push(a.writes.clone()),
+                TxnOutcome::Responded | TxnOutcome::Rejected => {}
             },
             Decision::AlreadyAccepted(version) => {
-                self.told_accepted.insert(id, version);
+                self.reported_accepted.insert(id, version);
             }
-            Decision::Conflict(_) => self.told_conflict.push(id),
+            Decision::Conflict(_) => self.reported_conflict.push(id),
             Decision::Invalid(errors) => panic!("{errors}"),
         }
     }
 
-    /// Every version is one more than the last, from one submission, for good.
+    /// Each version follows its predecessor, comes from one submission and never changes.
     fn check(&mut self) -> std::result::Result<(), TestCaseError> {
         if let Some((_, row)) = self.current() {
             let known = self.history.len() as u64;
@@ -132,33 +135,35 @@
             if row.version > known {
                 prop_assert!(!self.history.contains(&row.submit_id), "accepted twice");
                 let base = self.bases[&row.submit_id];
-                prop_assert_eq!(base, known, "undoes a change that its author never saw");
+                prop_assert_eq!(base, known, "reverts a change that its author had not seen");
                 self.history.push(row.submit_id.clone());
             }
             prop_assert_eq!(&self.history[row.version as usize - 1], &row.submit_id);
         }
-        for (id, version) in &self.told_accepted {
+        for (id, version) in &self.reported_accepted {
             prop_assert_eq!(&self.history[*version as usize - 1], id);
         }
         let wrong = self
-            .told_conflict
+            .reported_conflict
             .iter()
             .find(|id| self.history.contains(id));
-        prop_assert!(wrong.is_none(), "told a conflict, but accepted: {wrong:?}");
+        prop_assert!(
+            wrong.is_none(),
+            "reported as a conflict, but accepted: {wrong:?}"
+        );
         Ok(())
     }
 }
 
-/// Three operators submit through nodes whose table loses answers and makes
-/// writes late. Whatever happens, no operator is told something of a
-/// submission that turns out untrue, and no version is ever taken back.
+/// Operators submit while the table loses responses and delays writes. The result
+/// reported for a submission must stay true, and no version may be reverted.
 #[gtest]
-fn what_operators_are_told_stays_true() {
+fn reported_results_stay_true() {
     let steps = prop::collection::vec(step(), 1..60);
     let tested = runner(7).run(&steps, |steps| {
-        let mut world = World::default();
+        let mut sim = Simulation::default();
         for step in &steps {
-            world.take(step)?;
+            sim.run_step(step)?;
         }
         Ok(())
     });
--- a/crates/config/tests/common/mod.rs
+++ b/crates/config/tests/common/mod.rs
@@ -1,6 +1,6 @@
-//! A text that uses every kind of section, and generated configurations.
+//! A text with every kind of section, and a generator of configurations.
 
-#![allow(dead_code, reason = "each test file uses its part")]
+#![allow(dead_code, reason = "each test file uses only some of the helpers")]
 
 pub(crate) mod rows;
 
@@ -46,7 +46,7 @@
 drain = yes
 ";
 
-/// Cases of a property: few and always the same in CI, more by `EELGRASSMILL_CASES`.
+/// A property test runner with a fixed seed; `EELGRASSMILL_CASES` sets the number of cases.
 pub(crate) fn runner(seed: u64) -> TestRunner {
     let cases = std::env::var("EELGRASSMILL_CASES")
         .ok()
@@ -98,7 +98,7 @@
             move |(kind, repeatable, keep_answers, timeout, max_queue)| Service {
                 name: format!("s{index}").into(),
                 kind,
-                // Only lower numbers: without cycles by construction.
+                // Depends only on a lower index, so there are no cycles.
                 depends_on: index
                     .checked_sub(1)
                     .map(|i| format!("s{i}").into())
@@ -124,10 +124,10 @@
 pub(crate) fn config() -> impl Strategy<Value = Config> {
     let services = (0usize..5).prop_flat_map(|n| (0..n).map(service).collect::<Vec<_>>());
     let tenants = (0usize..4).prop_flat_map(|n| (0..n).map(tenant).collect::<Vec<_>>());
-    let rules = prop::collection::btree_map("h[0-9]", (any::<bool>(), any::<bool>()), 0..4);
+    let targets = prop::collection::btree_map("h[0-9]", (any::<bool>(), any::<bool>()), 0..4);
     let nodes = prop::collection::btree_map("n[0-9]", any::<bool>(), 0..3);
-    (any::<bool>(), services, tenants, rules, nodes).prop_map(
-        |(stranded, services, tenants, rules, nodes)| Config {
+    (any::<bool>(), services, tenants, targets, nodes).prop_map(
+        |(stranded, services, tenants, targets, nodes)| Config {
             repair: if stranded {
                 RepairObjective::Stranded
             } else {
@@ -135,7 +135,7 @@
             },
             services: services.into_iter().map(|s| (s.name.clone(), s)).collect(),
             tenants: tenants.into_iter().map(|t| (t.name.clone(), t)).collect(),
-            targets: rules
+            targets: targets
                 .into_iter()
                 .map(|(h, (checks_orders, drain))| {
                     (
--- a/crates/config/tests/common/rows.rs
+++ b/crates/config/tests/common/rows.rs
@@ -1,16 +1,16 @@
-//! Rows under conditions, in memory.
+//! In-memory table with conditional transactions.
 
 use std::collections::BTreeMap;
 
 use eelgrassmill_config::RowWrite;
 use smol_str::SmolStr;
 
-/// A table as far as acceptance needs one: rows with versions, all conditions or nothing.
+/// An in-memory table of versioned rows; a transaction commits only if all conditions hold.
 #[derive(Default)]
 pub(crate) struct Rows(BTreeMap<SmolStr, (u64, String)>);
 
 impl Rows {
-    /// Makes all writes, or none when a condition fails.
+    /// Applies all writes, or none if a condition fails.
     pub(crate) fn commit(&mut self, writes: &[RowWrite]) -> bool {
         let version = |key| self.0.get(key).map_or(0, |(v, _)| *v);
         if writes
@@ -26,16 +26,16 @@
         true
     }
 
-    /// A row's version and value.
+    /// Version and value of a row.
     pub(crate) fn read<T: serde::de::DeserializeOwned>(&self, key: &str) -> Option<(u64, T)> {
         let (version, value) = self.0.get(key)?;
         Some((
             *version,
-            serde_json::from_str(value).expect("a row of its kind"),
+            serde_json::from_str(value).expect("a row of type T"),
         ))
     }
 
-    /// How many rows there are.
+    /// Number of rows.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
