--- a/crates/config/src/references.rs
+++ b/crates/config/src/references.rs
@@ -69,17 +69,17 @@
 /// Reports dependency cycles: their services would wait for each other forever.
 fn check_cycles(builder: &ConfigBuilder, diagnostics: &mut Diagnostics) {
     let services = &builder.config.services;
-    let mut done: BTreeSet<&SmolStr> = BTreeSet::new();
+    let mut visited: BTreeSet<&SmolStr> = BTreeSet::new();
     for start in services.keys() {
         let mut path: Vec<(&SmolStr, Vec<&SmolStr>)> = Vec::new();
-        if !done.contains(start) {
+        if !visited.contains(start) {
             path.push((start, dependencies(&services[start])));
         }
         // Depth-first search with an explicit stack: a long dependency chain must
         // not overflow the call stack.
         while let Some((name, pending)) = path.last_mut() {
             let Some(next) = pending.pop() else {
-                done.insert(name);
+                visited.insert(name);
                 path.pop();
                 continue;
             };
@@ -89,7 +89,7 @@
                     path[at..].iter().map(|(n, _)| *n).collect(),
                     diagnostics,
                 );
-            } else if !done.contains(next) && services.contains_key(next) {
+            } else if !visited.contains(next) && services.contains_key(next) {
                 path.push((next, dependencies(&services[next])));
             }
         }
--- a/crates/config/src/section_reader.rs
+++ b/crates/config/src/section_reader.rs
@@ -77,8 +77,8 @@
     }
 
     fn key(&self, name: &str) -> &'static Key {
-        let found = self.keys.iter().find(|k| k.name == name);
-        found.expect("`name` is a key of the schema")
+        let key = self.keys.iter().find(|k| k.name == name);
+        key.expect("`name` is a key of the schema")
     }
 
     /// The line of `name`, or that of the section if the key is omitted.
@@ -108,9 +108,9 @@
         let value_type = &self.key(name).value_type;
         let value = parse(text, value_type);
         if value.is_none() {
-            let shown: String = text.chars().take(80).collect();
+            let truncated: String = text.chars().take(80).collect();
             let message = format!(
-                "`{name} = {shown}` is invalid, expected {}",
+                "`{name} = {truncated}` is invalid, expected {}",
                 value_type.describe()
             );
             diagnostics.add(self.line(name), message);
@@ -141,25 +141,25 @@
 
     /// A decimal number; zero if invalid.
     pub fn decimal(&self, name: &str, diagnostics: &mut Diagnostics) -> f64 {
-        let found = self.value(name, diagnostics, |text, value_type| {
+        let value = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Decimal { max } = value_type else {
                 return None;
             };
             let number: f64 = text.parse().ok()?;
             (number >= 0.0 && number <= *max as f64).then_some(number)
         });
-        found.unwrap_or_default()
+        value.unwrap_or_default()
     }
 
     /// A duration; zero if invalid.
     pub fn duration(&self, name: &str, diagnostics: &mut Diagnostics) -> Duration {
-        let found = self.value(name, diagnostics, |text, value_type| {
+        let value = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Duration { min, max } = value_type else {
                 return None;
             };
             parse_duration(text).filter(|d| (*min..=*max).contains(d))
         });
-        found.unwrap_or_default()
+        value.unwrap_or_default()
     }
 
     /// One of the key's choices; the first one if invalid.
@@ -167,10 +167,10 @@
         let ValueType::Choice(words) = self.key(name).value_type else {
             return "";
         };
-        let found = self.value(name, diagnostics, |text, _| {
+        let value = self.value(name, diagnostics, |text, _| {
             words.iter().find(|w| **w == text)
         });
-        found.unwrap_or(&words[0])
+        value.unwrap_or(&words[0])
     }
 
     /// A `yes` or `no`; `None` if omitted or invalid.
@@ -189,15 +189,15 @@
 
     /// A name; empty if invalid.
     pub fn name(&self, name: &str, diagnostics: &mut Diagnostics) -> SmolStr {
-        let found = self.value(name, diagnostics, |text, _| {
+        let value = self.value(name, diagnostics, |text, _| {
             is_valid_name(text).then(|| text.into())
         });
-        found.unwrap_or_default()
+        value.unwrap_or_default()
     }
 
     /// A list of names without duplicates; empty if invalid.
     pub fn names(&self, name: &str, diagnostics: &mut Diagnostics) -> Vec<SmolStr> {
-        let found = self.value(name, diagnostics, |text, value_type| {
+        let value = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Names { max } = value_type else {
                 return None;
             };
@@ -205,7 +205,7 @@
             let valid = names.iter().all(|n| is_valid_name(n)) && names.len() <= *max;
             valid.then(|| names.iter().map(SmolStr::new).collect::<Vec<_>>())
         });
-        let names = found.unwrap_or_default();
+        let names = value.unwrap_or_default();
         if let Some(duplicate) = first_duplicate(&names) {
             diagnostics.add(self.line(name), format!("`{name}` lists {duplicate} twice"));
         }
@@ -227,7 +227,7 @@
 
     /// A list of numeric `IP:PORT`s; empty if invalid.
     pub fn addresses(&self, name: &str, diagnostics: &mut Diagnostics) -> Vec<SocketAddr> {
-        let found = self.value(name, diagnostics, |text, value_type| {
+        let value = self.value(name, diagnostics, |text, value_type| {
             let ValueType::Addresses { max } = value_type else {
                 return None;
             };
@@ -236,7 +236,7 @@
             let parsed: Option<Vec<SocketAddr>> = items.iter().map(|a| a.parse().ok()).collect();
             parsed.filter(|_| in_range)
         });
-        found.unwrap_or_default()
+        value.unwrap_or_default()
     }
 
     /// A file path; `None` if omitted or empty.
--- a/crates/config/src/sections.rs
+++ b/crates/config/src/sections.rs
@@ -7,15 +7,15 @@
 /// The sections of a settings text, without duplicates; an omitted section is empty.
 #[derive(Debug)]
 pub struct Sections {
-    found: Vec<Section>,
+    sections: Vec<Section>,
 }
 
 impl Sections {
     /// Parses `text` into the sections of `known`; unknown and duplicate ones are reported.
     pub fn read(text: &str, known: &[SectionKeys], diagnostics: &mut Diagnostics) -> Sections {
-        let mut found: Vec<Section> = Vec::new();
+        let mut sections: Vec<Section> = Vec::new();
         for section in read_sections(text, diagnostics) {
-            if let Some(first) = found.iter().find(|s| s.name == section.name) {
+            if let Some(first) = sections.iter().find(|s| s.name == section.name) {
                 let (name, line) = (&section.name, first.line);
                 let message = format!("duplicate section [{name}], first defined on line {line}");
                 diagnostics.add(section.line, message);
@@ -28,20 +28,20 @@
                 );
                 diagnostics.add(section.line, message);
             } else {
-                found.push(section);
+                sections.push(section);
             }
         }
         for keys in known {
-            if !found.iter().any(|s| s.name == keys.name()) {
-                found.push(Section::empty(keys.name()));
+            if !sections.iter().any(|s| s.name == keys.name()) {
+                sections.push(Section::empty(keys.name()));
             }
         }
-        Sections { found }
+        Sections { sections }
     }
 
     /// Returns the section `name`.
     pub fn get(&self, name: &str) -> &Section {
-        let found = self.found.iter().find(|s| s.name == name);
-        found.expect("`name` is a section of `known`")
+        let section = self.sections.iter().find(|s| s.name == name);
+        section.expect("`name` is a section of `known`")
     }
 }
--- a/crates/config/tests/accept.rs
+++ b/crates/config/tests/accept.rs
@@ -65,7 +65,7 @@
         };
         assert!(rows.commit(&a.writes), "version {v}");
         // Resending the same transaction, as after a lost response, has no effect.
-        assert!(!rows.commit(&a.writes), "version {v} again");
+        assert!(!rows.commit(&a.writes), "version {v} resent");
     }
     expect_that!(rows.len(), eq(MAX_LOG_VERSIONS as usize + 2));
     let head: HeadRow = rows.read(HEAD_KEY).unwrap().1;
--- a/crates/config/tests/accept_fuzz.rs
+++ b/crates/config/tests/accept_fuzz.rs
@@ -143,13 +143,13 @@
         for (id, version) in &self.reported_accepted {
             prop_assert_eq!(&self.history[*version as usize - 1], id);
         }
-        let wrong = self
+        let contradicted = self
             .reported_conflict
             .iter()
             .find(|id| self.history.contains(id));
         prop_assert!(
-            wrong.is_none(),
-            "reported as a conflict, but accepted: {wrong:?}"
+            contradicted.is_none(),
+            "reported as a conflict, but accepted: {contradicted:?}"
         );
         Ok(())
     }
--- a/crates/config/tests/parse.rs
+++ b/crates/config/tests/parse.rs
@@ -123,8 +123,8 @@
     let oversized = "#".repeat(MAX_TEXT_BYTES + 1);
     insta::assert_snapshot!(errors(&oversized));
     let garbage = "garbage\n".repeat(10_000);
-    let found = Config::parse(&garbage, "f").unwrap_err();
-    expect_that!(found.as_slice().len(), eq(ConfigErrors::MAX_ERRORS));
+    let errors = Config::parse(&garbage, "f").unwrap_err();
+    expect_that!(errors.as_slice().len(), eq(ConfigErrors::MAX_ERRORS));
 }
 
 #[gtest]
