--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,10 +1,9 @@
 //! The request path: from a caller's connection to a host and back.
 //!
-//! [`Gateway`] is one node: it takes callers' requests, chooses hosts, relays answers
-//! and streams, tells other nodes what it knows, and plans replicas while it holds the
-//! planner's leader. What differs from platform to platform stands behind the traits of
-//! [`ports`](crate::Platform): how hosts are listed, ordered and asked, how callers'
-//! headers are spelled, and where the leader is recorded.
+//! [`Gateway`] is one node: it accepts callers' requests, chooses hosts, forwards responses and
+//! streams, exchanges state with other nodes, and plans replicas while it is the leader. What
+//! differs between platforms is behind the traits of [`ports`](crate::Platform): the list of hosts,
+//! orders and report requests to hosts, the headers of requests, and the leader's record.
 
 mod admission;
 mod body;
--- a/crates/gateway/src/log_report.rs
+++ b/crates/gateway/src/log_report.rs
@@ -1,4 +1,4 @@
-//! The story of one request, replica, host or configuration, out of the logs of many nodes.
+//! Reports on one request, replica, host or configuration, extracted from the logs of many nodes.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,12 +6,12 @@
 use eelgrassmill_base::value;
 use serde_json::{Map, Value};
 
-/// Lines about a request's replicas and hosts count when they are this close to it: the
-/// loss of a member is noticed 300 to 600 ms after it, and mended within 2 s.
-const AROUND: Duration = Duration::from_millis(2500);
+/// Lines about a request's replicas and hosts are related if they are this close to it: the loss of
+/// a member is detected after 300 to 600 ms, and repaired within 2 s.
+const RELATED_WINDOW: Duration = Duration::from_millis(2500);
 
 value! {
-    /// What to look for.
+    /// The subject of a report.
     pub enum Subject {
         /// A request by the id of one attempt of its caller.
         Request(String),
@@ -27,14 +27,14 @@
 /// One line of a log.
 #[derive(Clone, Debug, PartialEq)]
 struct Line {
-    /// Milliseconds since 1970.
-    at_ms: i64,
-    /// What stands before the line, or the file that it is from.
+    /// Milliseconds since the start of the month.
+    time_ms: i64,
+    /// The node that the line's prefix names, or the file that it is from.
     source: String,
     fields: Map<String, Value>,
 }
 
-/// Reads lines and tells what they say of a subject, in the order of time.
+/// Collects log lines and reports those about a subject in order of time.
 #[derive(Clone, Debug, Default)]
 pub struct LogReader {
     lines: Vec<Line>,
@@ -43,55 +43,56 @@
 }
 
 impl LogReader {
-    /// Takes a line of a log. What stands before its `{` names its node; without that,
-    /// `file` does.
+    /// Adds a line of a log. The text before its `{` names its node; if there is none, `file` does.
     pub fn push(&mut self, file: &str, text: &str) {
-        let Some(at) = text.find('{') else { return };
-        let (before, json) = text.split_at(at);
+        let Some(json_start) = text.find('{') else {
+            return;
+        };
+        let (prefix, json) = text.split_at(json_start);
         let Ok(fields) = serde_json::from_str::<Map<String, Value>>(json) else {
             self.unreadable += 1;
             return;
         };
-        let Some(at_ms) = fields
+        let Some(time_ms) = fields
             .get("timestamp")
             .and_then(Value::as_str)
-            .and_then(millis)
+            .and_then(parse_millis)
         else {
             return;
         };
-        let node = before.split_whitespace().last().unwrap_or(file);
+        let node = prefix.split_whitespace().last().unwrap_or(file);
         self.sources.insert(node.to_owned());
         self.lines.push(Line {
-            at_ms,
+            time_ms,
             source: node.to_owned(),
             fields,
         });
     }
 
-    /// What the lines say of `subject`, one text a line.
+    /// The report on `subject`, one string per line.
     pub fn report(&self, subject: &Subject) -> Vec<String> {
-        let mut found: Vec<&Line> = self.lines.iter().filter(|l| l.is_about(subject)).collect();
+        let mut found: Vec<&Line> = self.lines.iter().filter(|l| l.matches(subject)).collect();
         if let Subject::Request(_) = subject {
-            found.extend(self.around(&found));
+            found.extend(self.related(&found));
         }
-        found.sort_by_key(|l| l.at_ms);
+        found.sort_by_key(|l| l.time_ms);
         found.dedup();
-        let mut told: Vec<String> = found.into_iter().map(Line::report).collect();
-        if told.is_empty() {
+        let mut report: Vec<String> = found.into_iter().map(Line::report).collect();
+        if report.is_empty() {
             let nodes: Vec<&str> = self.sources.iter().map(String::as_str).collect();
-            told.push(format!(
-                "no line; an answer that is whole and on time leaves none. Logs read: {}",
+            report.push(format!(
+                "no lines found; a complete response that is on time logs none. Logs read: {}",
                 nodes.join(", ")
             ));
         }
         if self.unreadable > 0 {
-            told.push(format!("{} lines could not be read", self.unreadable));
+            report.push(format!("{} lines could not be read", self.unreadable));
         }
-        told
+        report
     }
 
-    /// What happened at the same time to the replicas and hosts that these lines name.
-    fn around(&self, lines: &[&Line]) -> Vec<&Line> {
+    /// Lines from the same time about the replicas and hosts that `lines` name.
+    fn related(&self, lines: &[&Line]) -> Vec<&Line> {
         let names = |field: &str| -> BTreeSet<&str> {
             lines
                 .iter()
@@ -100,14 +101,14 @@
                 .collect()
         };
         let (replicas, hosts) = (names("replica"), names("host"));
-        let times = || lines.iter().map(|l| l.at_ms);
+        let times = || lines.iter().map(|l| l.time_ms);
         let (Some(first), Some(last)) = (times().min(), times().max()) else {
             return Vec::new();
         };
-        let margin = i64::try_from(AROUND.as_millis()).unwrap_or(i64::MAX);
-        let near = |l: &&Line| l.at_ms >= first - margin && l.at_ms <= last + margin;
-        let other = |l: &&Line| l.text("request").is_none();
-        let named = |l: &&Line| {
+        let margin = i64::try_from(RELATED_WINDOW.as_millis()).unwrap_or(i64::MAX);
+        let near = |l: &&Line| l.time_ms >= first - margin && l.time_ms <= last + margin;
+        let no_request = |l: &&Line| l.text("request").is_none();
+        let same_replica_or_host = |l: &&Line| {
             l.text("replica").is_some_and(|r| replicas.contains(r))
                 || (l.text("event") == Some("host-gone")
                     && l.text("host").is_some_and(|h| hosts.contains(h)))
@@ -115,8 +116,8 @@
         self.lines
             .iter()
             .filter(near)
-            .filter(other)
-            .filter(named)
+            .filter(no_request)
+            .filter(same_replica_or_host)
             .collect()
     }
 }
@@ -126,7 +127,7 @@
         self.fields.get(field).and_then(Value::as_str)
     }
 
-    fn is_about(&self, subject: &Subject) -> bool {
+    fn matches(&self, subject: &Subject) -> bool {
         match subject {
             Subject::Request(id) => self.text("request") == Some(id),
             Subject::Replica(name) => self.text("replica") == Some(name),
@@ -163,9 +164,9 @@
     }
 }
 
-/// Milliseconds of a time like `2026-05-03T21:06:03.005590Z`, counted from the first day
-/// of its month: lines of one story are minutes apart at most.
-fn millis(time: &str) -> Option<i64> {
+/// Parses a time like `2026-05-03T21:06:03.005590Z` to milliseconds since the start of its month:
+/// lines of one report are minutes apart at most.
+fn parse_millis(time: &str) -> Option<i64> {
     let part = |from: usize, to: usize| time.get(from..to)?.parse::<i64>().ok();
     let (day, hour) = (part(8, 10)?, part(11, 13)?);
     let (minute, second) = (part(14, 16)?, part(17, 19)?);
--- a/crates/gateway/src/logs.rs
+++ b/crates/gateway/src/logs.rs
@@ -1,8 +1,8 @@
-//! Structured lines on standard output that never hold up the node.
+//! Structured logs on standard output that never block the node.
 //!
-//! A reader that stops reading fills the pipe, and a write to it then stops the process.
-//! So lines go through a bounded queue to a thread of their own; what finds no room is
-//! dropped, counted and told.
+//! If the log collector stops reading, the pipe fills up and a direct write would block the
+//! process. So lines go through a bounded queue to a writer thread; lines that don't fit are
+//! dropped, counted, and the count is logged.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -14,30 +14,29 @@
 use tracing_subscriber::filter::LevelFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// Lines that wait for the reader: about two seconds of the most that is written.
-const QUEUE: usize = 2048;
-/// Most lines in one second. A node under the heaviest load writes some 150; the rest is
-/// for what goes wrong, and the bound keeps a storm of it from costing more than 1 in 20
-/// of a small machine.
-const LINES_PER_SECOND: u32 = 1000;
-/// Most bytes of one write, unless one line is longer: a pipe takes that much whole, and a
-/// collector that reads in pieces finds no line torn apart.
-const PIECE: usize = 4096;
-/// The lines of at most this time are written together, so that the thread that writes
-/// wakes up a few times a second and not for each line.
+/// Capacity of the queue in lines: about two seconds at the maximum rate.
+const QUEUE_LINES: usize = 2048;
+/// Most lines in one second. A node under the heaviest load writes some 150; the rest is headroom
+/// for errors, and the bound keeps an error storm from costing more than 1/20 of a small machine.
+const MAX_LINES_PER_SECOND: u32 = 1000;
+/// Most bytes of one write, unless one line is longer: writes of up to this size to a pipe are
+/// atomic, so that a collector finds no torn lines.
+const MAX_WRITE_BYTES: usize = 4096;
+/// How long lines are batched, so that the writer thread wakes up a few times a second and not for
+/// each line.
 const BATCH_DELAY: Duration = Duration::from_millis(100);
 
 /// Shortest time between two lines of a [`LogRateLimit`].
 const LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Bounds lines that a burst would otherwise write for each request.
+/// Rate limit for lines that a burst would otherwise write for each request.
 #[derive(Debug, Default)]
 pub(crate) struct LogRateLimit {
     last: Option<Instant>,
 }
 
 impl LogRateLimit {
-    /// Whether a line may be written now; notes it if so.
+    /// Whether a line may be written now; records it if so.
     pub(crate) fn is_due(&mut self, now: Instant) -> bool {
         let recent = |at: Instant| now.saturating_duration_since(at) < LINE_INTERVAL;
         if self.last.is_some_and(recent) {
@@ -48,45 +47,45 @@
     }
 }
 
-/// Where lines go; cheap to clone.
+/// The queue of log lines; cheap to clone.
 #[derive(Clone, Debug)]
 pub struct LogQueue {
     lines: Sender<Vec<u8>>,
     dropped: Arc<AtomicU64>,
-    /// Lines that were taken and are not written yet.
-    waiting: Arc<AtomicU64>,
+    /// Lines that were queued and are not written yet.
+    pending: Arc<AtomicU64>,
 }
 
 impl LogQueue {
-    /// A queue whose lines a thread writes to `out`.
+    /// Starts a queue with a thread that writes its lines to `out`.
     ///
     /// # Errors
-    /// When no thread can be started.
+    /// If the thread can't be started.
     pub fn start(out: impl Write + Send + 'static) -> io::Result<LogQueue> {
-        let (lines, rx) = bounded(QUEUE);
+        let (lines, rx) = bounded(QUEUE_LINES);
         let dropped = Arc::new(AtomicU64::new(0));
-        let waiting = Arc::new(AtomicU64::new(0));
+        let pending = Arc::new(AtomicU64::new(0));
         let queue = LogQueue {
             lines,
             dropped: Arc::clone(&dropped),
-            waiting: Arc::clone(&waiting),
+            pending: Arc::clone(&pending),
         };
         thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || write_all(&rx, out, &dropped, &waiting))?;
+            .spawn(move || write_lines(&rx, out, &dropped, &pending))?;
         Ok(queue)
     }
 
-    /// Waits until all lines so far are written, at most for `most`: the last lines of a
-    /// process are those that say how it ended.
-    pub fn drain(&self, most: Duration) {
-        let end = Instant::now() + most;
-        while self.waiting.load(Ordering::Acquire) > 0 && Instant::now() < end {
+    /// Waits until all lines so far are written, at most for `timeout`: the last lines of a process
+    /// show how it ended.
+    pub fn drain(&self, timeout: Duration) {
+        let end = Instant::now() + timeout;
+        while self.pending.load(Ordering::Acquire) > 0 && Instant::now() < end {
             thread::sleep(BATCH_DELAY / 4);
         }
     }
 
-    /// Lines that found no room so far and were not told yet.
+    /// Lines that were dropped and are not yet reported by a `log-dropped` line.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -94,9 +93,9 @@
 
 impl Write for LogQueue {
     fn write(&mut self, buf: &[u8]) -> io::Result<usize> {
-        self.waiting.fetch_add(1, Ordering::AcqRel);
+        self.pending.fetch_add(1, Ordering::AcqRel);
         if self.lines.try_send(buf.to_vec()).is_err() {
-            self.waiting.fetch_sub(1, Ordering::AcqRel);
+            self.pending.fetch_sub(1, Ordering::AcqRel);
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(buf.len())
@@ -115,11 +114,11 @@
     }
 }
 
-fn write_all(
+fn write_lines(
     lines: &Receiver<Vec<u8>>,
     mut out: impl Write,
     dropped: &AtomicU64,
-    waiting: &AtomicU64,
+    pending: &AtomicU64,
 ) {
     let mut second = Instant::now();
     let mut written = 0;
@@ -130,48 +129,49 @@
             written = 0;
         }
         let mut buf = Vec::new();
-        let mut taken = 0;
+        let mut received = 0;
         for line in std::iter::once(first).chain(lines.try_iter()) {
             written += 1;
-            taken += 1;
-            if written > LINES_PER_SECOND {
+            received += 1;
+            if written > MAX_LINES_PER_SECOND {
                 dropped.fetch_add(1, Ordering::Relaxed);
             } else {
                 buf.extend_from_slice(&line);
             }
         }
-        let lost = dropped.swap(0, Ordering::Relaxed);
-        if lost > 0 {
-            let line =
-                format!("{{\"level\":\"WARN\",\"event\":\"log-dropped\",\"lines\":{lost}}}\n");
+        let dropped_now = dropped.swap(0, Ordering::Relaxed);
+        if dropped_now > 0 {
+            let line = format!(
+                "{{\"level\":\"WARN\",\"event\":\"log-dropped\",\"lines\":{dropped_now}}}\n"
+            );
             buf.extend_from_slice(line.as_bytes());
         }
-        // Nobody is left to be told when standard output is gone.
-        if write_pieces(&mut out, &buf).is_err() {
+        // If standard output is closed, there is nowhere to report it.
+        if write_batches(&mut out, &buf).is_err() {
             return;
         }
-        waiting.fetch_sub(taken, Ordering::AcqRel);
+        pending.fetch_sub(received, Ordering::AcqRel);
     }
 }
 
-/// Writes whole lines, several together as long as they stay under [`PIECE`].
-fn write_pieces(out: &mut impl Write, lines: &[u8]) -> io::Result<()> {
-    let mut piece = Vec::new();
+/// Writes complete lines, several per write up to [`MAX_WRITE_BYTES`].
+fn write_batches(out: &mut impl Write, lines: &[u8]) -> io::Result<()> {
+    let mut batch = Vec::new();
     for line in lines.split_inclusive(|b| *b == b'\n') {
-        if !piece.is_empty() && piece.len() + line.len() > PIECE {
-            out.write_all(&piece)?;
-            piece.clear();
+        if !batch.is_empty() && batch.len() + line.len() > MAX_WRITE_BYTES {
+            out.write_all(&batch)?;
+            batch.clear();
         }
-        piece.extend_from_slice(line);
+        batch.extend_from_slice(line);
     }
-    out.write_all(&piece)?;
+    out.write_all(&batch)?;
     out.flush()
 }
 
 /// Starts logging to standard output; lines below `level` are not written.
 ///
 /// # Errors
-/// When no thread can be started.
+/// If the writer thread can't be started.
 pub fn init_logging(level: &str) -> io::Result<LogQueue> {
     let queue = LogQueue::start(io::stdout())?;
     let level: LevelFilter = level.parse().unwrap_or(LevelFilter::INFO);
@@ -183,7 +183,7 @@
         .with_max_level(level)
         .with_writer(queue.clone())
         .try_init();
-    // Only a second start in one process fails, and the first one goes on.
+    // It fails only if logging was already initialized in this process, which stays in place.
     drop(started);
     Ok(queue)
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms, by the conventions of Prometheus.
+//! Prometheus metrics of a node.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
     Encoder, HistogramOpts, HistogramVec, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
 
-/// Upper bounds of latency buckets in seconds: around the latency objectives of
-/// interactive calls (0.1 to 0.4 s) and the timeouts of streams (5 to 8 s).
-const BUCKETS: [f64; 12] = [
+/// Upper bounds of latency buckets in seconds, dense around the latency objectives of interactive
+/// calls (0.1 to 0.4 s) and the timeouts of streams (5 to 8 s).
+const FIRST_BYTE_BUCKETS: [f64; 12] = [
     0.025, 0.05, 0.1, 0.2, 0.25, 0.4, 0.8, 1.5, 3.0, 5.0, 8.0, 15.0,
 ];
 
-/// Why a request is sent once more.
+/// Why a request is retried.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum RetryReason {
-    /// A host did not serve it.
+    /// An attempt at a host failed or was refused.
     Attempt,
-    /// Its stream broke off and goes on at another replica.
+    /// Its stream broke and resumes at another replica.
     Resume,
 }
 
@@ -36,19 +36,19 @@
     registry: Registry,
     /// Requests by service, kind and outcome.
     pub(crate) requests: IntCounterVec,
-    /// Time to the first byte of an answer, by service and kind.
+    /// Time to the first byte of a response, by service and kind.
     pub(crate) first_byte: HistogramVec,
-    /// Requests that were sent once more, by service and reason.
+    /// Retries by service and reason.
     pub(crate) retries: IntCounterVec,
     /// Orders by kind and reply.
     pub(crate) orders: IntCounterVec,
     /// Version of the configuration in force.
     pub(crate) config_version: IntGauge,
-    /// Failure domains whose hosts take nothing new.
+    /// Evacuated failure domains, whose hosts take no new requests.
     pub(crate) evacuated_domains: IntGauge,
     /// Replicas that take requests.
     pub(crate) open_replicas: IntGauge,
-    /// Failures of the platform's store in a row.
+    /// Consecutive failed calls to the store.
     pub(crate) store_failures: IntGauge,
 }
 
@@ -57,11 +57,11 @@
         let registry = Registry::new();
         let counter = |name: &str, help: &str, labels: &[&str]| {
             let vec = IntCounterVec::new(Opts::new(name, help), labels)
-                .expect("name and labels are constants that are valid");
+                .expect("constant name and labels are valid");
             register(&registry, vec)
         };
         let gauge = |name: &str, help: &str| {
-            let gauge = IntGauge::new(name, help).expect("the name is a constant that is valid");
+            let gauge = IntGauge::new(name, help).expect("constant name is valid");
             register(&registry, gauge)
         };
         let first_byte = HistogramVec::new(
@@ -69,10 +69,10 @@
                 "gateway_first_byte_seconds",
                 "Time to the first byte of an answer.",
             )
-            .buckets(BUCKETS.to_vec()),
+            .buckets(FIRST_BYTE_BUCKETS.to_vec()),
             &["service", "kind"],
         )
-        .expect("name and labels are constants that are valid");
+        .expect("constant name and labels are valid");
         Metrics {
             requests: counter(
                 "gateway_requests_total",
@@ -105,41 +105,41 @@
     }
 }
 
-/// Registers a metric of a new registry, where no name can be taken yet.
+/// Registers a metric; names within the registry are distinct.
 fn register<C>(registry: &Registry, metric: C) -> C
 where
     C: prometheus::core::Collector + Clone + 'static,
 {
     let registered = registry.register(Box::new(metric.clone()));
-    registered.expect("each metric of the registry has a name of its own");
+    registered.expect("metric names are distinct");
     metric
 }
 
 impl Metrics {
-    /// Counts the end of a request.
+    /// Counts a finished request by its outcome.
     pub(crate) fn count_request(&self, service: &str, kind: &str, outcome: &str) {
         self.requests
             .with_label_values(&[service, kind, outcome])
             .inc();
     }
 
-    /// Counts a request that is sent once more.
+    /// Counts a retry.
     pub(crate) fn count_retry(&self, service: &str, reason: RetryReason) {
         let labels = [service, reason.name()];
         self.retries.with_label_values(&labels).inc();
     }
 
-    /// Counts the time to the first byte of an answer.
-    pub(crate) fn observe_first_byte(&self, service: &str, kind: &str, time: Duration) {
+    /// Records the time to the first byte of a response.
+    pub(crate) fn observe_first_byte(&self, service: &str, kind: &str, latency: Duration) {
         let histogram = self.first_byte.with_label_values(&[service, kind]);
-        histogram.observe(time.as_secs_f64());
+        histogram.observe(latency.as_secs_f64());
     }
 
-    /// The page that a collector reads.
+    /// Encodes all metrics in the Prometheus text format.
     pub(crate) fn encode(&self) -> Vec<u8> {
         let mut buf = Vec::new();
         if let Err(err) = TextEncoder::new().encode(&self.registry.gather(), &mut buf) {
-            tracing::error!(%err, "metrics can't be encoded");
+            tracing::error!(%err, "failed to encode metrics");
         }
         buf
     }
--- a/crates/gateway/src/node_api.rs
+++ b/crates/gateway/src/node_api.rs
@@ -1,4 +1,4 @@
-//! Requests to the node itself: whether it is ready, which addresses to use, metrics.
+//! Requests to the node itself: readiness, address resolution and metrics.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -14,7 +14,7 @@
 use crate::heads::locked;
 use crate::ports::{Dialect, NodeRequest, Platform};
 
-/// Answers one request to the node itself.
+/// Handles one request to the node itself.
 pub(crate) async fn handle<P: Platform>(
     core: Arc<Core<P>>,
     req: Request<Incoming>,
@@ -65,10 +65,10 @@
     response
 }
 
-fn text(body: Bytes, kind: &'static str) -> Response<ResponseBody> {
+fn text(body: Bytes, content_type: &'static str) -> Response<ResponseBody> {
     let mut response = Response::new(ResponseBody::full(body));
     response
         .headers_mut()
-        .insert(header::CONTENT_TYPE, HeaderValue::from_static(kind));
+        .insert(header::CONTENT_TYPE, HeaderValue::from_static(content_type));
     response
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! What this node does with what other nodes tell it.
+//! This node's part in the peer protocol: applies other nodes' updates and publishes its own.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -22,21 +22,21 @@
 use crate::scheduler::ScheduledLoad;
 use crate::{loss_detection, scheduler, snapshot_relay};
 
-/// Under this name the leader publishes its term.
+/// The group name under which the leader publishes its term.
 const LEADER_GROUP: &str = "planner";
 /// How often loads are reported. Heads turn over their batches in about a second; older reports
-/// would send bursts to heads that are already full.
+/// would direct bursts to heads that are already full.
 pub(crate) const LOAD_INTERVAL: Duration = Duration::from_millis(250);
-/// The same where updates take several hops, each of which adds up to a tick.
+/// The same in a larger system, where updates take several hops and each adds up to a tick.
 const LARGE_LOAD_INTERVAL: Duration = Duration::from_millis(500);
 /// How often nodes confirm that they are up: callers get the addresses of nodes that were heard
-/// lately.
+/// recently.
 const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// Ticks of a larger system. Three hops and a confirmation's interval stay well under
+/// Tick of a larger system. Three hops plus the confirmation interval stay well under
 /// [`crate::nodes::DEAD_AFTER`].
 const LARGE_TICK: Duration = Duration::from_millis(250);
 
-/// Takes the updates of other nodes.
+/// Handles the updates and requests of other nodes.
 pub(crate) struct UpdateHandler<P: Platform> {
     core: Arc<Core<P>>,
 }
@@ -83,7 +83,7 @@
             .configuration
             .on_peer_version(origin, load.config_version);
         locked(&self.core.nodes).set_overloaded(origin, load.overloaded);
-        // A load says that callers' requests have come: loads of weights are slow now.
+        // A node with load has served requests, so the fast model loads of a first start are over.
         if load.load_permille > 0 {
             self.core.mark_served();
         }
@@ -98,8 +98,8 @@
             leaving,
         };
         let changed = locked(&self.core.nodes).on_status(origin, info, as_of);
-        // The planner alone acts for all nodes; written by each, the lines would grow with the
-        // square of their number.
+        // Logged by the planner only: logged by each node, the lines would grow with the square of
+        // the number of nodes.
         if changed && self.core.is_planner() {
             info!(event = "node", node = %origin, leaving);
         }
@@ -118,7 +118,7 @@
         }
     }
 
-    /// A node has nothing at a replica any more.
+    /// Clears a node's load report for a replica.
     fn clear_load(&self, origin: &NodeId, replica: &str) {
         let heads = locked(&self.core.heads);
         for head in heads.all().filter(|h| h.replica == replica) {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Starts this node's part in the protocol between nodes.
+/// Starts the peer protocol.
 pub(crate) fn start<P: Platform>(
     core: &Arc<Core<P>>,
     incarnation: u64,
@@ -211,7 +211,7 @@
     Ok(peer)
 }
 
-/// Tells the other nodes what this one is.
+/// Publishes this node's status to the other nodes.
 pub(crate) fn publish_status<P: Platform>(core: &Core<P>) {
     let Some(peer) = core.peer() else { return };
     let cfg = &core.cfg;
@@ -226,7 +226,7 @@
     }));
 }
 
-/// Tells the other nodes that this one is the leader, or no longer is.
+/// Publishes to the other nodes that this one is the leader or no longer is.
 pub(crate) fn publish_leader<P: Platform>(core: &Core<P>, leader: Option<&LeaderRecord>) {
     let me = &core.cfg.node;
     match leader {
@@ -244,8 +244,8 @@
     }
 }
 
-/// Reports loads to the other nodes until the process ends: what this node has assigned to
-/// heads as their scheduler, and what it placed without one.
+/// Publishes load reports to the other nodes until the process ends: the requests that this node
+/// assigned to heads as their scheduler, and those that it placed without one.
 pub(crate) async fn publish_loads<P: Platform>(core: Arc<Core<P>>) {
     let mut reported = BTreeSet::new();
     loop {
@@ -270,7 +270,7 @@
     }
 }
 
-/// What this node has to report of heads' loads.
+/// This node's load reports on heads.
 fn group_loads<P: Platform>(core: &Core<P>, now: Instant) -> Vec<GroupLoad> {
     let scheduled = core.schedulers.loads(now);
     let count = |requests: usize| u32::try_from(requests).unwrap_or(u32::MAX);
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,5 @@
-//! A node's settings: INI, by tables of keys that also make the reference page.
+//! A node's settings: an INI file, parsed by tables of keys that the reference page is also
+//! generated from.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -11,15 +12,15 @@
 
 use crate::config::{Addresses, GatewayConfig, RetryBudgetConfig};
 
-const MILLI: Duration = Duration::from_millis(1);
-const HOUR: Duration = Duration::from_secs(3_600);
-const TIME: ValueType = ValueType::duration(MILLI, HOUR);
+const ONE_MILLISECOND: Duration = Duration::from_millis(1);
+const ONE_HOUR: Duration = Duration::from_secs(3_600);
+const DURATION: ValueType = ValueType::duration(ONE_MILLISECOND, ONE_HOUR);
 const MAX_SEEDS: usize = 64;
 const MAX_CORES: u64 = 1024;
 
-/// Callers are told to keep an answer with addresses this long, unless less is permitted:
-/// each answer costs a little, and a stopping node waits until they have run out.
-const ADDRESS_TTL: Duration = Duration::from_secs(2);
+/// How long callers may cache addresses, unless the setting is shorter: each response costs a
+/// little, and a stopping node waits until cached addresses have expired.
+const MAX_ADDRESS_TTL: Duration = Duration::from_secs(2);
 
 const NODE: &[Key] = &[
     required(
@@ -88,7 +89,7 @@
 const RETRIES: &[Key] = &[
     required(
         "window",
-        TIME,
+        DURATION,
         "Any span of this length counts for the bound on repeats.",
     ),
     required(
@@ -106,12 +107,12 @@
 const TIMES: &[Key] = &[
     required(
         "grace",
-        TIME,
+        DURATION,
         "From the signal to stop until the process is killed.",
     ),
     required(
         "address_ttl_most",
-        TIME,
+        DURATION,
         "The longest time that callers may keep addresses.",
     ),
 ];
@@ -123,7 +124,7 @@
     "The least severe lines that are written.",
 )];
 
-/// Every section with its keys.
+/// All sections with their keys.
 pub const SECTIONS: &[SectionKeys] = &[
     SectionKeys {
         section: "[node]",
@@ -155,7 +156,7 @@
     },
 ];
 
-/// Why there are no settings.
+/// Why the settings can't be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -163,10 +164,10 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// It has mistakes.
+    /// The file has mistakes.
     #[error(transparent)]
     Invalid(#[from] ConfigErrors),
 }
@@ -174,19 +175,19 @@
 /// A node's settings.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// How the node takes part.
+    /// The node's configuration.
     pub gateway: GatewayConfig,
     /// The platform's store.
     pub store: SocketAddr,
-    /// The least severe lines that are written.
+    /// The minimum level of log lines.
     pub log_level: &'static str,
 }
 
 impl Settings {
-    /// Reads a file.
+    /// Loads a file.
     ///
     /// # Errors
-    /// When it can't be read, or all mistakes in it, each with its line.
+    /// If it can't be read or has mistakes; lists all mistakes with their lines.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path);
         let text = text.map_err(|source| SettingsError::Unreadable {
@@ -196,28 +197,28 @@
         Ok(Settings::parse(&path.display().to_string(), &text)?)
     }
 
-    /// Reads a text; `name` stands for it in mistakes.
+    /// Parses a text; `name` stands for its file in error messages.
     ///
     /// # Errors
-    /// All mistakes, each with its line.
+    /// Lists all mistakes with their lines.
     pub fn parse(name: &str, text: &str) -> Result<Settings, ConfigErrors> {
         let mut diagnostics = Diagnostics::new(name);
         let found = Sections::read(text, SECTIONS, &mut diagnostics);
-        let mut read = Parts {
+        let mut reader = SettingsReader {
             found: &found,
             diagnostics: &mut diagnostics,
         };
-        let settings = read.settings();
+        let settings = reader.settings();
         diagnostics.finish(settings)
     }
 }
 
-struct Parts<'a> {
+struct SettingsReader<'a> {
     found: &'a Sections,
     diagnostics: &'a mut Diagnostics,
 }
 
-impl Parts<'_> {
+impl SettingsReader<'_> {
     fn read<T>(
         &mut self,
         name: &str,
@@ -229,7 +230,7 @@
     }
 
     fn settings(&mut self) -> Settings {
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let unset = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let (node, region, failure_domain, first_start) = self.read("node", NODE, |r, p| {
             let names = (
                 r.name("id", p),
@@ -244,10 +245,10 @@
         });
         let seeds = self.read("peers", PEERS, |r, p| r.addresses("seeds", p));
         let addresses = self.read("listen", LISTEN, |r, p| Addresses {
-            callers: r.address("callers", p).unwrap_or(any),
-            ready: r.address("ready", p).unwrap_or(any),
-            directory: r.address("directory", p).unwrap_or(any),
-            peers: r.address("peers", p).unwrap_or(any),
+            callers: r.address("callers", p).unwrap_or(unset),
+            ready: r.address("ready", p).unwrap_or(unset),
+            directory: r.address("directory", p).unwrap_or(unset),
+            peers: r.address("peers", p).unwrap_or(unset),
             seeds: seeds.clone(),
         });
         let retries = self.read("retries", RETRIES, |r, p| RetryBudgetConfig {
@@ -259,7 +260,7 @@
             (r.duration("grace", p), r.duration("address_ttl_most", p))
         });
         let store = self.read("platform", PLATFORM, |r, p| {
-            r.address("store", p).unwrap_or(any)
+            r.address("store", p).unwrap_or(unset)
         });
         let log_level = self.read("log", LOG, |r, p| r.choice("level", p));
         let gateway = GatewayConfig {
@@ -270,7 +271,7 @@
             addresses,
             retries,
             grace,
-            address_ttl: ttl.min(ADDRESS_TTL),
+            address_ttl: ttl.min(MAX_ADDRESS_TTL),
             first_start,
         };
         Settings {
--- a/crates/gateway/tests/log_report.rs
+++ b/crates/gateway/tests/log_report.rs
@@ -1,4 +1,4 @@
-//! Telling what logs say of one request.
+//! Reports extracted from logs.
 
 use eelgrassmill_gateway::{LogReader, Subject};
 use googletest::prelude::*;
@@ -21,24 +21,27 @@
 }
 
 #[gtest]
-fn a_request_is_told_with_what_happened_to_its_replica() {
-    let told = reader().report(&Subject::Request("q1".to_owned()));
-    expect_that!(told.len(), eq(4));
-    expect_that!(told[0], starts_with("21:06:02.955 node-b attempt after=4"));
-    expect_that!(told[1], starts_with("21:06:03.005 node-a replica-lost"));
-    expect_that!(told[2], contains_substring("outcome=cut"));
-    // The order came minutes later and belongs to another story; the torn line is told.
-    expect_that!(told[3], eq("1 lines could not be read"));
+fn a_requests_report_includes_its_replicas_events() {
+    let report = reader().report(&Subject::Request("q1".to_owned()));
+    expect_that!(report.len(), eq(4));
+    expect_that!(
+        report[0],
+        starts_with("21:06:02.955 node-b attempt after=4")
+    );
+    expect_that!(report[1], starts_with("21:06:03.005 node-a replica-lost"));
+    expect_that!(report[2], contains_substring("outcome=cut"));
+    // The order was minutes later and isn't related; the torn line is counted as unreadable.
+    expect_that!(report[3], eq("1 lines could not be read"));
 }
 
 #[gtest]
-fn a_host_is_told_by_name_and_among_the_silent() {
-    let told = reader().report(&Subject::Host("h-9".to_owned()));
-    expect_that!(told[0], contains_substring("replica-lost"));
+fn a_hosts_report_includes_lines_that_list_it_as_silent() {
+    let report = reader().report(&Subject::Host("h-9".to_owned()));
+    expect_that!(report[0], contains_substring("replica-lost"));
 }
 
 #[gtest]
-fn an_unknown_request_says_which_logs_were_read() {
-    let told = reader().report(&Subject::Request("q9".to_owned()));
-    expect_that!(told[0], contains_substring("Logs read: node-a, node-b"));
+fn the_report_on_an_unknown_request_lists_the_logs_that_were_read() {
+    let report = reader().report(&Subject::Request("q9".to_owned()));
+    expect_that!(report[0], contains_substring("Logs read: node-a, node-b"));
 }
--- a/crates/gateway/tests/logs.rs
+++ b/crates/gateway/tests/logs.rs
@@ -1,4 +1,4 @@
-//! Log lines: bounded, told when dropped, and never in the way.
+//! Bounds of the log queue.
 
 use std::io::Write;
 use std::sync::mpsc;
@@ -7,12 +7,12 @@
 use eelgrassmill_gateway::LogQueue;
 use googletest::prelude::*;
 
-/// A reader that never reads: the first write waits until the test ends.
-struct Stuck(mpsc::Receiver<()>);
+/// A writer that blocks at the first write until the test ends.
+struct BlockedWriter(mpsc::Receiver<()>);
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
-        // Ends with an error when the test drops its side, which is as good.
+        // Returns an error when the test drops the sender.
         let _ = self.0.recv();
         Ok(buf.len())
     }
@@ -22,25 +22,25 @@
     }
 }
 
-/// Whoever collects the logs stops reading in the middle of a storm of lines. The node
-/// must go on as if nothing had happened, and count what it dropped.
+/// Guards against a blocked node when the log collector stops reading during a burst of lines.
+/// Lines must be dropped and counted instead.
 #[gtest]
-fn a_reader_that_never_reads_holds_nothing_up() {
-    let (keep, stuck) = mpsc::channel();
-    let mut queue = LogQueue::start(Stuck(stuck)).expect("a thread starts");
+fn a_blocked_writer_does_not_block_the_node() {
+    let (unblock, blocked) = mpsc::channel();
+    let mut queue = LogQueue::start(BlockedWriter(blocked)).expect("the writer thread starts");
     let began = Instant::now();
     for n in 0..50_000 {
-        writeln!(queue, "line {n}").expect("writing a line never fails");
+        writeln!(queue, "line {n}").expect("writes to the queue never fail");
     }
     expect_that!(began.elapsed(), lt(Duration::from_secs(5)));
     expect_that!(queue.dropped(), gt(40_000));
-    drop(keep);
+    drop(unblock);
 }
 
-/// What a writer got, for the test to look at.
-struct Kept(mpsc::Sender<Vec<u8>>);
+/// A writer that passes its output to the test.
+struct CapturingWriter(mpsc::Sender<Vec<u8>>);
 
-impl Write for Kept {
+impl Write for CapturingWriter {
     fn write(&mut self, buf: &[u8]) -> std::io::Result<usize> {
         self.0.send(buf.to_vec()).map_err(std::io::Error::other)?;
         Ok(buf.len())
@@ -52,16 +52,16 @@
 }
 
 #[gtest]
-fn a_storm_of_lines_is_bounded_and_what_was_dropped_is_told() {
+fn a_burst_of_lines_is_bounded_and_drops_are_logged() {
     let (tx, rx) = mpsc::channel();
-    let mut queue = LogQueue::start(Kept(tx)).expect("a thread starts");
+    let mut queue = LogQueue::start(CapturingWriter(tx)).expect("the writer thread starts");
     for n in 0..1800 {
         queue
             .write_all(format!("line {n}\n").as_bytes())
-            .expect("it never fails");
+            .expect("writes to the queue never fail");
     }
     std::thread::sleep(Duration::from_millis(400));
-    let text = String::from_utf8(rx.try_iter().flatten().collect()).expect("it is text");
+    let text = String::from_utf8(rx.try_iter().flatten().collect()).expect("the output is UTF-8");
     expect_that!(
         text.lines().filter(|l| l.starts_with("line")).count(),
         eq(1000)
