--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -180,7 +180,7 @@
     core.admission.arrived(service, model);
     let needed = (call.deadline - call.arrived).mul_f64(MIN_REMAINING_RATIO);
     let give_up_at = (call.deadline - needed).min(Instant::now() + MAX_QUEUE_TIME);
-    let wanted = SlotQuery {
+    let query = SlotQuery {
         call,
         service,
         model,
@@ -188,7 +188,7 @@
         avoid,
         until: give_up_at,
     };
-    match scheduler_client::acquire(core, &wanted).await {
+    match scheduler_client::acquire(core, &query).await {
         Acquired::Granted(slot) => return Ok(slot),
         Acquired::Full => return Err(full_refusal(no_slot_cause(core, service, model))),
         Acquired::NoScheduler => {}
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -86,11 +86,11 @@
                 runs += 1;
                 delivered += 1;
                 let failed = status.is_server_error();
-                let answer = full_response(core, status, &headers, body);
+                let response = full_response(core, status, &headers, body);
                 if !failed || !call.is_idempotent() || runs >= call.route.attempts {
-                    return Ok(answer);
+                    return Ok(response);
                 }
-                fallback = Some(answer);
+                fallback = Some(response);
             }
             AttemptResult::NotSent(_) => {}
             AttemptResult::NotRun(_) => delivered += 1,
@@ -303,10 +303,10 @@
     headers: &http::HeaderMap,
     body: Bytes,
 ) -> Response<ResponseBody> {
-    let mut answer = Response::new(ResponseBody::full(body));
-    *answer.status_mut() = status;
-    *answer.headers_mut() = core.platform.dialect().response_headers(headers);
-    answer
+    let mut response = Response::new(ResponseBody::full(body));
+    *response.status_mut() = status;
+    *response.headers_mut() = core.platform.dialect().response_headers(headers);
+    response
 }
 
 fn log_attempt(call: &Call, host: &Host, attempt: &AttemptResult) {
--- a/crates/gateway/src/leader.rs
+++ b/crates/gateway/src/leader.rs
@@ -172,7 +172,7 @@
 
 /// Rereads the row until it names another holder.
 async fn confirm<P: Platform>(core: &Core<P>, leader: &LeaderRecord, lease: &Mutex<Lease>) {
-    let mut answered = true;
+    let mut last_read_ok = true;
     loop {
         tokio::time::sleep(CONFIRM_INTERVAL).await;
         let read_at = since_boot();
@@ -180,13 +180,13 @@
         match &read {
             Ok((Some(record), _)) if record == leader => locked(lease).confirm(read_at),
             Ok(_) => return,
-            Err(err) if answered => {
+            Err(err) if last_read_ok => {
                 warn!(event = "leader", term = leader.term, outcome = "not-confirmed", %err);
             }
             // Logged at the first of consecutive failures.
             Err(_) => {}
         }
-        answered = read.is_ok();
+        last_read_ok = read.is_ok();
     }
 }
 
--- a/crates/gateway/src/loss_detection.rs
+++ b/crates/gateway/src/loss_detection.rs
@@ -80,11 +80,11 @@
 /// Runs on a timer because the store sends no event at that time: until the next change, a host
 /// that left would get requests for up to 3 s more.
 fn expire_missing_hosts<P: Platform>(core: &Core<P>) {
-    let gone = locked(&core.fleet).expire(Instant::now());
-    if gone.is_empty() {
+    let removed = locked(&core.fleet).expire(Instant::now());
+    if removed.is_empty() {
         return;
     }
-    for host in gone.iter().filter(|_| core.is_planner()) {
+    for host in removed.iter().filter(|_| core.is_planner()) {
         info!(event = "host-gone", %host, reason = "not listed again");
     }
     core.refresh_heads();
@@ -126,9 +126,9 @@
     }
     let mut silent = SmallVec::new();
     let mut broken = false;
-    while let Some(answered) = reports.join_next().await {
+    while let Some(joined) = reports.join_next().await {
         // A report request can't panic; one that did would show nothing about its host.
-        let Ok((host, report)) = answered else {
+        let Ok((host, report)) = joined else {
             continue;
         };
         match report {
--- a/crates/gateway/src/nodes/mod.rs
+++ b/crates/gateway/src/nodes/mod.rs
@@ -57,7 +57,7 @@
 /// The other nodes that this one knows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct NodeTable {
-    known: BTreeMap<NodeId, NodeEntry>,
+    nodes: BTreeMap<NodeId, NodeEntry>,
     /// Nodes that were removed without having announced that they leave, and when they were last
     /// heard.
     lost: BTreeMap<NodeId, Instant>,
@@ -71,52 +71,52 @@
     /// `heard` is the latest instant at which it certainly was up.
     pub(crate) fn on_status(&mut self, node: &NodeId, info: NodeInfo, heard: Instant) -> bool {
         self.lost.remove(node);
-        let known = self.known.get(node);
-        let changed = known.is_none_or(|k| k.info != info);
-        let overloaded = known.is_some_and(|k| k.overloaded);
+        let entry = self.nodes.get(node);
+        let changed = entry.is_none_or(|k| k.info != info);
+        let overloaded = entry.is_some_and(|k| k.overloaded);
         // A status relayed by another node may be older than what was heard before.
-        let last_heard = known.map_or(heard, |k| k.last_heard.max(heard));
-        let known = NodeEntry {
+        let last_heard = entry.map_or(heard, |k| k.last_heard.max(heard));
+        let entry = NodeEntry {
             info,
             overloaded,
             last_heard,
         };
-        self.known.insert(node.clone(), known);
+        self.nodes.insert(node.clone(), entry);
         changed
     }
 
     /// Records whether a node is overloaded.
     pub(crate) fn set_overloaded(&mut self, node: &str, overloaded: bool) {
-        if let Some(known) = self.known.get_mut(node) {
-            known.overloaded = overloaded;
+        if let Some(entry) = self.nodes.get_mut(node) {
+            entry.overloaded = overloaded;
         }
     }
 
     /// Records that a node was up at `at`.
     pub(crate) fn mark_heard(&mut self, node: &str, at: Instant) {
-        if let Some(known) = self.known.get_mut(node) {
-            known.last_heard = known.last_heard.max(at);
+        if let Some(entry) = self.nodes.get_mut(node) {
+            entry.last_heard = entry.last_heard.max(at);
         }
     }
 
     pub(crate) fn remove(&mut self, node: &str) {
-        let gone = self.known.remove_entry(node);
-        if let Some((node, known)) = gone.filter(|(_, k)| !k.info.leaving) {
+        let removed = self.nodes.remove_entry(node);
+        if let Some((node, entry)) = removed.filter(|(_, k)| !k.info.leaving) {
             let is_recent =
-                |at: &Instant| known.last_heard.saturating_duration_since(*at) < LOST_NODE_TTL;
+                |at: &Instant| entry.last_heard.saturating_duration_since(*at) < LOST_NODE_TTL;
             self.lost.retain(|_, at| is_recent(at));
-            self.lost.insert(node, known.last_heard);
+            self.lost.insert(node, entry.last_heard);
         }
     }
 
     /// Whether a node counts as up.
     pub(crate) fn is_alive(&self, node: &str, now: Instant) -> bool {
-        self.known.get(node).is_some_and(|k| k.is_alive(now))
+        self.nodes.get(node).is_some_and(|k| k.is_alive(now))
     }
 
     /// Time since each node was last heard, of those that aren't leaving or were lost recently.
     pub(crate) fn silences(&self, now: Instant) -> impl Iterator<Item = Duration> + Clone {
-        let staying = self.known.values().filter(|k| !k.info.leaving);
+        let staying = self.nodes.values().filter(|k| !k.info.leaving);
         let heard = staying
             .map(|k| k.last_heard)
             .chain(self.lost.values().copied());
@@ -129,7 +129,7 @@
     pub(crate) fn retry_budget_shares(&self, now: Instant) -> usize {
         let is_recent = |at: &&Instant| now.saturating_duration_since(**at) < LOST_NODE_TTL;
         let lost = self.lost.values().filter(is_recent).count();
-        1 + self.known.len() + lost
+        1 + self.nodes.len() + lost
     }
 
     /// Whether this node hears most of the others.
@@ -144,7 +144,7 @@
 
     fn staying(&self, now: Instant) -> impl Iterator<Item = (&NodeId, &NodeEntry)> {
         let stays = move |k: &NodeEntry| k.is_alive(now) && !k.info.leaving;
-        self.known.iter().filter(move |(_, k)| stays(k))
+        self.nodes.iter().filter(move |(_, k)| stays(k))
     }
 
     /// Records that a node sent no usable copy of a list.
@@ -162,25 +162,26 @@
         usable.map(candidate)
     }
 
-    /// The addresses for callers in the failure domain `near`, including `own` unless it is `None`.
+    /// The addresses for callers in the failure domain `domain`, including `own` unless it is
+    /// `None`.
     pub(crate) fn addresses(
         &self,
         own: Option<(&SmolStr, &FailureDomain)>,
-        near: &str,
+        domain: &str,
         now: Instant,
     ) -> Vec<SmolStr> {
         let others = self.staying(now);
         let others = others.map(|(_, k)| (&k.info.address, &k.info.failure_domain));
-        let all: Vec<_> = own.into_iter().chain(others).collect();
-        let close: Vec<_> = all
+        let addresses: Vec<_> = own.into_iter().chain(others).collect();
+        let local: Vec<_> = addresses
             .iter()
-            .filter(|(_, d)| d.as_str() == near)
+            .filter(|(_, d)| d.as_str() == domain)
             .copied()
             .collect();
-        let chosen = if close.len() >= MIN_LOCAL_NODES {
-            close
+        let chosen = if local.len() >= MIN_LOCAL_NODES {
+            local
         } else {
-            all
+            addresses
         };
         chosen
             .into_iter()
@@ -199,11 +200,11 @@
     }
 }
 
-fn candidate<'n>((id, known): (&'n NodeId, &'n NodeEntry)) -> RoleCandidate<'n> {
+fn candidate<'n>((id, entry): (&'n NodeId, &'n NodeEntry)) -> RoleCandidate<'n> {
     RoleCandidate {
         id,
-        failure_domain: &known.info.failure_domain,
-        processor: usable_processor(known.info.processor, known.overloaded),
+        failure_domain: &entry.info.failure_domain,
+        processor: usable_processor(entry.info.processor, entry.overloaded),
     }
 }
 
--- a/crates/gateway/src/ports.rs
+++ b/crates/gateway/src/ports.rs
@@ -18,8 +18,8 @@
 /// Why a source could not be read or written.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SourceError {
-    /// It could not be connected to or gave no answer. A write may have been done.
-    #[error("no answer: {0}")]
+    /// It could not be connected to or gave no response. A write may have been done.
+    #[error("no response: {0}")]
     Unreachable(String),
     /// It refused the call with this HTTP status and did nothing.
     #[error("refused with status {0}")]
@@ -27,8 +27,8 @@
     /// It no longer has the history since the requested cursor.
     #[error("the requested history has been compacted")]
     Compacted,
-    /// Its answer can't be decoded.
-    #[error("malformed answer: {0}")]
+    /// Its response can't be decoded.
+    #[error("malformed response: {0}")]
     Malformed(String),
 }
 
@@ -106,20 +106,20 @@
     }
 }
 
-/// Why a host gave no answer.
+/// Why a host gave no response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HostUnavailable {
     /// The host received nothing.
     #[error("not reached: {0}")]
     NotReached(String),
     /// The host may have received the request, or may receive it later.
-    #[error("no answer: {0}")]
+    #[error("no response: {0}")]
     NoAnswer(String),
 }
 
 /// Sends report requests and orders to hosts.
 pub trait HostControl: Send + Sync + 'static {
-    /// Requests the report of `host` at `address`. A reply of another host counts as no answer.
+    /// Requests the report of `host` at `address`. A reply of another host counts as no response.
     fn report(
         &self,
         host: &HostId,
--- a/crates/gateway/src/reflector.rs
+++ b/crates/gateway/src/reflector.rs
@@ -36,7 +36,7 @@
 const MAX_COPY_POLL_INTERVAL: Duration = Duration::from_millis(40);
 /// Longest time that another node may take to prepare a copy.
 const COPY_RPC_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a node waits for another node's copy after the store gave no answer.
+/// How long a node waits for another node's copy after the store gave no response.
 const COPY_TIMEOUT: Duration = Duration::from_millis(500);
 /// How long a node that has just started waits to discover others before it polls the store for a
 /// list. Otherwise, when all nodes start at once, each would poll the store.
@@ -60,7 +60,7 @@
 enum CopyAge {
     /// Copies as recent as those of a node with access to the store.
     Fresh,
-    /// Any copy, while the store gives no answer.
+    /// Any copy, while the store gives no response.
     Any,
 }
 
@@ -351,14 +351,14 @@
         let is_planner = self.0.is_planner();
         {
             let mut fleet = locked(&self.0.fleet);
-            let mut gone = Vec::new();
+            let mut removed = Vec::new();
             for change in changes {
                 if let (FleetChange::Put(host), true) = (&change, is_planner) {
                     log_host(host, version);
                 }
-                gone.extend(fleet.apply(change, now));
+                removed.extend(fleet.apply(change, now));
             }
-            for host in gone.iter().filter(|_| is_planner) {
+            for host in removed.iter().filter(|_| is_planner) {
                 info!(event = "host-gone", %host, reason = "no longer listed");
             }
         }
--- a/crates/gateway/src/scheduler.rs
+++ b/crates/gateway/src/scheduler.rs
@@ -24,12 +24,12 @@
 
 /// How often deadlines and free slots are checked while requests wait.
 const RECHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// A decision that its node doesn't collect within this is revoked. Nodes ask again within a few
+/// A decision that its node doesn't collect within this is revoked. Nodes call again within a few
 /// milliseconds of a reply that the request still waits.
 const COLLECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// A scheduler that got no call for this long is dropped.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time that one ask is held before its reply.
+/// Longest time that a slot request is held before its reply.
 const MAX_RPC_WAIT: Duration = Duration::from_millis(250);
 
 value! {
@@ -56,9 +56,9 @@
     /// Requests that got no slot since the last log line on them.
     unserved: usize,
     log_limit: LogRateLimit,
-    /// Pending asks, by the request whose decision they wait for.
-    askers: HashMap<RequestKey, oneshot::Sender<SlotOutcome>>,
-    /// Decisions that were made while no ask was pending.
+    /// Replies to pending calls, by the request whose decision they wait for.
+    pending_replies: HashMap<RequestKey, oneshot::Sender<SlotOutcome>>,
+    /// Decisions that were made while no call was pending.
     uncollected: HashMap<RequestKey, (SlotOutcome, Instant)>,
     last_used: Instant,
 }
@@ -102,7 +102,7 @@
         for running in locked(&self.running).values() {
             let mut running = locked(running);
             running.scheduler.remove_node(node);
-            running.askers.retain(|key, _| key.node != node);
+            running.pending_replies.retain(|key, _| key.node != node);
             running.uncollected.retain(|key, _| key.node != node);
         }
     }
@@ -123,34 +123,39 @@
     for slot_event in &req.slot_events {
         locked(&running).on_slot_event(&node, slot_event, now);
     }
-    let Some(wanted) = &req.slot_request else {
+    let Some(slot_request) = &req.slot_request else {
         locked(&running).decide(&open_heads(&core, &scope), now);
         return ScheduleReply::default();
     };
-    let ask = read_ask(&node, &req.failure_domain, wanted, now);
-    let asked = locked(&running).ask(ask, &open_heads(&core, &scope), now);
-    let wait = Duration::from_millis(wanted.wait_ms.into()).min(MAX_RPC_WAIT);
-    match tokio::time::timeout(wait, asked).await {
+    let request = pending_request(&node, &req.failure_domain, slot_request, now);
+    let outcome_rx = locked(&running).request_slot(request, &open_heads(&core, &scope), now);
+    let wait = Duration::from_millis(slot_request.wait_ms.into()).min(MAX_RPC_WAIT);
+    match tokio::time::timeout(wait, outcome_rx).await {
         Ok(Ok(outcome)) => reply(outcome),
         _ => decision(SlotDecision::Waiting),
     }
 }
 
-fn read_ask(node: &NodeId, domain: &str, wanted: &SlotRequest, now: Instant) -> PendingRequest {
+fn pending_request(
+    node: &NodeId,
+    domain: &str,
+    slot_request: &SlotRequest,
+    now: Instant,
+) -> PendingRequest {
     let ms = |ms: u32| Duration::from_millis(ms.into());
     PendingRequest {
         key: RequestKey {
             node: node.clone(),
-            number: wanted.request_number,
+            number: slot_request.request_number,
         },
         failure_domain: domain.into(),
-        prompt_tokens: wanted.prompt_tokens,
-        resumed: wanted.resumed,
-        urgency: u8::try_from(wanted.urgency).unwrap_or(u8::MAX),
-        on_time_until: now + ms(wanted.slo_remaining_ms),
-        deadline: now + ms(wanted.max_wait_ms),
-        max_event_gap: ms(wanted.max_pause_ms),
-        avoid: wanted
+        prompt_tokens: slot_request.prompt_tokens,
+        resumed: slot_request.resumed,
+        urgency: u8::try_from(slot_request.urgency).unwrap_or(u8::MAX),
+        on_time_until: now + ms(slot_request.slo_remaining_ms),
+        deadline: now + ms(slot_request.max_wait_ms),
+        max_event_gap: ms(slot_request.max_pause_ms),
+        avoid: slot_request
             .avoid_hosts
             .iter()
             .map(|h| h.as_str().into())
@@ -197,7 +202,7 @@
         scheduler: Scheduler::new(speed, now),
         unserved: 0,
         log_limit: LogRateLimit::default(),
-        askers: HashMap::new(),
+        pending_replies: HashMap::new(),
         uncollected: HashMap::new(),
         last_used: now,
     }));
@@ -276,39 +281,39 @@
             SlotEventKind::Rejected => self.scheduler.on_rejected(&key, now),
             SlotEventKind::Failed => self.scheduler.on_failed(&key, now),
             SlotEventKind::Released => {
-                self.askers.remove(&key);
+                self.pending_replies.remove(&key);
                 self.uncollected.remove(&key);
                 self.scheduler.release(&key);
             }
         }
     }
 
-    fn ask(
+    fn request_slot(
         &mut self,
-        ask: PendingRequest,
+        request: PendingRequest,
         heads: &[OpenHead],
         now: Instant,
     ) -> oneshot::Receiver<SlotOutcome> {
         let (tx, rx) = oneshot::channel();
-        if let Some((outcome, _)) = self.uncollected.remove(&ask.key) {
+        if let Some((outcome, _)) = self.uncollected.remove(&request.key) {
             // The receiver is still in this function, so this can't fail.
             let _ = tx.send(outcome);
             return rx;
         }
-        self.askers.insert(ask.key.clone(), tx);
-        if self.scheduler.enqueue(ask, now) {
+        self.pending_replies.insert(request.key.clone(), tx);
+        if self.scheduler.enqueue(request, now) {
             self.decide(heads, now);
         }
         rx
     }
 
-    /// Makes the decisions that are possible now and sends them to the pending asks.
+    /// Makes the decisions that are possible now and sends them to the pending calls.
     fn decide(&mut self, heads: &[OpenHead], now: Instant) {
         for (key, outcome) in self.scheduler.assign(heads, now) {
             if outcome == SlotOutcome::Full {
                 self.unserved += 1;
             }
-            let unsent = match self.askers.remove(&key) {
+            let unsent = match self.pending_replies.remove(&key) {
                 Some(tx) => tx.send(outcome).err(),
                 None => Some(outcome),
             };
--- a/crates/gateway/src/scheduler_client.rs
+++ b/crates/gateway/src/scheduler_client.rs
@@ -22,8 +22,8 @@
 
 /// Replicas served by one scheduler shard; larger models are sharded by failure domain.
 const MAX_REPLICAS_PER_SHARD: f64 = 10.0;
-/// How long a scheduler may hold an ask before it replies that the request still waits. A dead
-/// scheduler is detected only by an ask without a reply.
+/// How long a scheduler may hold a slot request before it replies that the request still waits. A
+/// dead scheduler is detected only by a request without a reply.
 const RPC_WAIT: Duration = Duration::from_millis(150);
 /// Allowance for a reply beyond that; shorter than the retransmission of a lost packet.
 const RPC_SLACK: Duration = Duration::from_millis(80);
@@ -183,7 +183,7 @@
 /// Asks for a slot.
 pub(crate) async fn acquire<P: Platform>(
     core: &Arc<Core<P>>,
-    wanted: &SlotQuery<'_>,
+    query: &SlotQuery<'_>,
 ) -> Acquired<P> {
     let mut stale = 0;
     let mut ejected = 0;
@@ -191,14 +191,14 @@
     loop {
         // Chosen again at each turn: the heads of another failure domain may have room by now, and
         // after an ejection another node schedules.
-        let Some((scope, node)) = scheduler_for(core, wanted.service, wanted.model) else {
+        let Some((scope, node)) = scheduler_for(core, query.service, query.model) else {
             return Acquired::NoScheduler;
         };
         let same = waiting
             .take()
             .filter(|p| p.node == node && p.scope == scope);
         let mut permit = same.unwrap_or_else(|| new_permit(core, node, scope));
-        let Some(reply) = ask_scheduler(core, wanted, &permit).await else {
+        let Some(reply) = request_slot(core, query, &permit).await else {
             eject(core, &permit.node, &permit.scope);
             ejected += 1;
             if ejected >= MAX_SCHEDULER_CHOICES {
@@ -230,15 +230,15 @@
 }
 
 /// Asks for a slot under the number of `permit`. `None` if the scheduler gives no reply.
-async fn ask_scheduler<P: Platform>(
+async fn request_slot<P: Platform>(
     core: &Arc<Core<P>>,
-    wanted: &SlotQuery<'_>,
+    query: &SlotQuery<'_>,
     permit: &Permit<P>,
 ) -> Option<ScheduleReply> {
-    let ask = slot_request(wanted, permit.number);
+    let slot_request = slot_request(query, permit.number);
     let slot_events = take_slot_events(core, &(permit.node.clone(), permit.scope.clone()));
-    let wait = Duration::from_millis(ask.wait_ms.into());
-    let req = request(core, &permit.scope, Some(ask), slot_events);
+    let wait = Duration::from_millis(slot_request.wait_ms.into());
+    let req = request(core, &permit.scope, Some(slot_request), slot_events);
     send(core, &permit.node, req, wait + RPC_SLACK).await
 }
 
@@ -264,25 +264,25 @@
     }
 }
 
-fn slot_request(wanted: &SlotQuery<'_>, request_number: u64) -> SlotRequest {
+fn slot_request(query: &SlotQuery<'_>, request_number: u64) -> SlotRequest {
     let now = Instant::now();
     let ms = |d: Duration| u32::try_from(d.as_millis()).unwrap_or(u32::MAX);
-    let call = wanted.call;
+    let call = query.call;
     let on_time = call.on_time_until().saturating_duration_since(now);
-    let patience = wanted.until.saturating_duration_since(now);
+    let max_wait = query.until.saturating_duration_since(now);
     SlotRequest {
         request_number,
         prompt_tokens: call.metadata.prompt_tokens,
-        resumed: wanted.resumed,
+        resumed: query.resumed,
         urgency: call.urgency().into(),
         slo_remaining_ms: ms(on_time),
-        max_wait_ms: ms(patience),
+        max_wait_ms: ms(max_wait),
         max_pause_ms: ms(call
             .route
             .stream
             .as_ref()
             .map_or(call.route.latency_objective, |s| s.max_event_gap)),
-        avoid_hosts: wanted.avoid.iter().map(ToString::to_string).collect(),
+        avoid_hosts: query.avoid.iter().map(ToString::to_string).collect(),
         wait_ms: ms(RPC_WAIT),
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -223,12 +223,13 @@
     if call.route.stream.is_some() {
         return stream::run(core, call).await;
     }
-    let all = tokio::time::timeout(
+    let dispatched = tokio::time::timeout(
         call.remaining() + FINAL_REPLY_MARGIN,
         dispatch::run(core, call),
     );
     // The attempt in progress may have run.
-    all.await
+    dispatched
+        .await
         .unwrap_or_else(|_| Err(Refusal::new(RefusalCause::ResponseTimeout)))
 }
 
@@ -243,18 +244,18 @@
         .services
         .first()
         .map_or("none", |(s, _)| s.as_str());
-    let took = call.arrived.elapsed();
+    let elapsed = call.arrived.elapsed();
     let waited = call.arrived.saturating_duration_since(call.first_sent);
     let waited_ms = waited.as_millis() as u64;
     match result {
         Ok(response) => {
-            core.metrics.observe_first_byte(service, kind, took);
+            core.metrics.observe_first_byte(service, kind, elapsed);
             core.metrics
                 .count_request(service, kind, response.status().as_str());
-            if took > call.route.latency_objective {
+            if elapsed > call.route.latency_objective {
                 info!(
                     event = "request", request = %call.metadata.id, route = %call.route.name,
-                    outcome = "late", ms = took.as_millis() as u64, waited_ms,
+                    outcome = "late", ms = elapsed.as_millis() as u64, waited_ms,
                 );
             }
         }
@@ -263,7 +264,7 @@
             core.metrics.count_request(service, kind, outcome);
             info!(
                 event = "request", request = %call.metadata.id, route = %call.route.name, outcome,
-                ms = took.as_millis() as u64, waited_ms, config = core.catalog().version(),
+                ms = elapsed.as_millis() as u64, waited_ms, config = core.catalog().version(),
             );
         }
     }
--- a/crates/gateway/src/snapshot_relay.rs
+++ b/crates/gateway/src/snapshot_relay.rs
@@ -268,7 +268,7 @@
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum RelayError {
     /// It wasn't reached or didn't reply.
-    #[error("no answer: {0}")]
+    #[error("no response: {0}")]
     NoAnswer(String),
     /// It has no copy.
     #[error("it has no copy")]
@@ -365,8 +365,8 @@
     wait: Duration,
 ) -> Result<ListCopy<C>, RelayError> {
     let peer = core.peer().ok_or(RelayError::NoCopy)?;
-    let answered = peer.fetch_list(node, C::LIST, since, wait, RPC_SLACK).await;
-    let reply = answered.map_err(|e| RelayError::NoAnswer(e.to_string()))?;
+    let result = peer.fetch_list(node, C::LIST, since, wait, RPC_SLACK).await;
+    let reply = result.map_err(|e| RelayError::NoAnswer(e.to_string()))?;
     let now = Instant::now();
     if reply.version == 0 {
         return Err(RelayError::NoCopy);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -279,10 +279,10 @@
             return self.forward_full(started, status, headers).await;
         }
         let (tx, rx) = mpsc::channel(STREAM_BUFFER_CHUNKS);
-        let mut answer = Response::new(ResponseBody::Stream(rx));
-        *answer.headers_mut() = headers;
+        let mut response = Response::new(ResponseBody::Stream(rx));
+        *response.headers_mut() = headers;
         tokio::spawn(async move { self.forward_events(started, tx).await });
-        Ok(answer)
+        Ok(response)
     }
 
     /// Forwards a response that isn't a stream, after reading it to its end.
@@ -300,10 +300,10 @@
                 return Err(Refusal::new(RefusalCause::BrokenResponse));
             }
         };
-        let mut answer = Response::new(ResponseBody::full(body));
-        *answer.status_mut() = status;
-        *answer.headers_mut() = headers;
-        Ok(answer)
+        let mut response = Response::new(ResponseBody::full(body));
+        *response.status_mut() = status;
+        *response.headers_mut() = headers;
+        Ok(response)
     }
 
     /// Forwards events and, if the stream breaks, resumes it at another replica.
