--- a/crates/gateway/src/core.rs
+++ b/crates/gateway/src/core.rs
@@ -45,6 +45,7 @@
     pub(crate) leaders: Mutex<BTreeMap<NodeId, u64>>,
     /// Copies of the platform's lists for other nodes.
     pub(crate) lists: SnapshotRelay,
+    /// Retry budgets by service.
     pub(crate) retries: Mutex<HashMap<ServiceName, RetryWindow>>,
     /// Rate limit for log lines on exhausted retry budgets.
     budget_log_limit: Mutex<LogRateLimit>,
@@ -61,8 +62,10 @@
     pub(crate) stopping: watch::Sender<bool>,
     /// True once the grace period of running requests is over and the process is about to exit.
     exiting: watch::Sender<bool>,
+    /// Whether a request was served at any node.
     served: AtomicBool,
     overloaded: AtomicBool,
+    /// Consecutive failed calls to the store.
     store_failures: AtomicU64,
     peer: OnceLock<Arc<PeerNode<UpdateHandler<P>>>>,
     /// Moving average of the age of other nodes' load reports on arrival.
