--- a/crates/gateway/src/log_report.rs
+++ b/crates/gateway/src/log_report.rs
@@ -45,9 +45,7 @@
 impl LogReader {
     /// Adds a line of a log. The text before its `{` names its node; if there is none, `file` does.
     pub fn push(&mut self, file: &str, text: &str) {
-        let Some(start) = text.find('{') else {
-            return;
-        };
+        let Some(start) = text.find('{') else { return };
         let (prefix, json) = text.split_at(start);
         let Ok(fields) = serde_json::from_str::<Map<String, Value>>(json) else {
             self.unreadable += 1;
