--- a/crates/gateway/src/heads/mod.rs
+++ b/crates/gateway/src/heads/mod.rs
@@ -56,12 +56,13 @@
     unscheduled: BTreeMap<NodeId, usize>,
     /// The newest report of a scheduler. After a change of schedulers the former one's report stays
     /// until the new one's arrives, so that the two are never added up.
-    assigned: Option<Assigned>,
+    assigned: Option<SchedulerReport>,
 }
 
+/// A scheduler's load report on one head.
 #[derive(Debug)]
-struct Assigned {
-    by: NodeId,
+struct SchedulerReport {
+    scheduler: NodeId,
     requests: usize,
     /// This head's share of the requests that wait at the scheduler.
     queued: usize,
@@ -152,16 +153,16 @@
 
     /// Records the report of a scheduler, which may be this node; an empty load if it schedules
     /// nothing there.
-    pub(crate) fn report_assigned(&self, by: &NodeId, load: ScheduledLoad, as_of: Instant) {
+    pub(crate) fn report_assigned(&self, scheduler: &NodeId, load: ScheduledLoad, as_of: Instant) {
         let mut reports = locked(&self.reports);
         let known = reports.assigned.as_ref();
-        let is_same = known.is_some_and(|a| a.by == *by);
+        let is_same = known.is_some_and(|a| a.scheduler == *scheduler);
         let is_newer = known.is_none_or(|a| a.as_of < as_of);
         if load == ScheduledLoad::default() && is_same {
             reports.assigned = None;
         } else if load != ScheduledLoad::default() && (is_same || is_newer) {
-            reports.assigned = Some(Assigned {
-                by: by.clone(),
+            reports.assigned = Some(SchedulerReport {
+                scheduler: scheduler.clone(),
                 requests: load.assigned,
                 queued: load.queued,
                 is_ejected: load.is_ejected,
@@ -174,7 +175,7 @@
     pub(crate) fn forget_node(&self, node: &str) {
         let mut reports = locked(&self.reports);
         reports.unscheduled.remove(node);
-        reports.assigned.take_if(|a| a.by == node);
+        reports.assigned.take_if(|a| a.scheduler == node);
     }
 
     /// Counts one more request until the guard is dropped.
--- a/crates/gateway/src/planning.rs
+++ b/crates/gateway/src/planning.rs
@@ -44,8 +44,8 @@
     planner: Planner,
     /// Duration of the last step.
     last_step_time: Duration,
-    /// The step at which each replica was last logged.
-    logged_steps: BTreeMap<GroupId, FormationPhase>,
+    /// The phase at which each replica was last logged.
+    logged_phases: BTreeMap<GroupId, FormationPhase>,
 }
 
 impl<P: Platform> Drop for PlannerTerm<P> {
@@ -62,7 +62,7 @@
             core,
             planner,
             last_step_time: Duration::ZERO,
-            logged_steps: BTreeMap::new(),
+            logged_phases: BTreeMap::new(),
         }
     }
 
@@ -113,12 +113,12 @@
         }
     }
 
-    /// Logs each step of the replicas that serve or will serve, and why one is given up: the log
+    /// Logs each phase of the replicas that serve or will serve, and why one is given up: the log
     /// lines on orders don't show their purpose.
     fn log_formations(&mut self) {
         let serving = |f: &&Formation| f.purpose == Purpose::Serve;
         for f in self.planner.formations().filter(serving) {
-            if self.logged_steps.get(&f.id) == Some(&f.phase) {
+            if self.logged_phases.get(&f.id) == Some(&f.phase) {
                 continue;
             }
             let why = f.loss.as_ref().map(|loss| format!("{loss:?}"));
@@ -129,14 +129,14 @@
             );
         }
         let formations = self.planner.formations().filter(serving);
-        self.logged_steps = formations.map(|f| (f.id.clone(), f.phase)).collect();
+        self.logged_phases = formations.map(|f| (f.id.clone(), f.phase)).collect();
     }
 
     /// Gives up replicas that are known here to be lost.
     ///
     /// A loss that is reported before this planner knows the replica, or while no node leads, is
-    /// missed as an event. The planner would find the silent member only by asking all hosts, in a
-    /// test of a loss without a leader 2.4 s later.
+    /// missed as an event. The planner would then find the silent member only by asking all hosts,
+    /// which took 2.4 s longer in a test of a loss without a leader.
     fn report_lost_heads(&mut self, now: Instant) {
         let heads = locked(&self.core.heads);
         for head in heads.all().filter(|h| h.is_lost()) {
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -119,7 +119,7 @@
     limits: CallerLimits,
     mut stopping: watch::Receiver<bool>,
     service: S,
-    _counted: ConnectionGuard,
+    _guard: ConnectionGuard,
 ) where
     S: Fn(Request<Incoming>) -> F + Send + 'static,
     F: Future<Output = Result<Response<ResponseBody>, Infallible>> + Send + 'static,
