--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -14,7 +14,7 @@
 
 const ONE_MILLISECOND: Duration = Duration::from_millis(1);
 const ONE_HOUR: Duration = Duration::from_secs(3_600);
-const TIME_RANGE: ValueType = ValueType::duration(ONE_MILLISECOND, ONE_HOUR);
+const DURATION: ValueType = ValueType::duration(ONE_MILLISECOND, ONE_HOUR);
 const MAX_SEEDS: usize = 64;
 const MAX_CORES: u64 = 1024;
 
@@ -89,7 +89,7 @@
 const RETRIES: &[Key] = &[
     required(
         "window",
-        TIME_RANGE,
+        DURATION,
         "Any span of this length counts for the bound on repeats.",
     ),
     required(
@@ -107,12 +107,12 @@
 const TIMES: &[Key] = &[
     required(
         "grace",
-        TIME_RANGE,
+        DURATION,
         "From the signal to stop until the process is killed.",
     ),
     required(
         "address_ttl_most",
-        TIME_RANGE,
+        DURATION,
         "The longest time that callers may keep addresses.",
     ),
 ];
