--- a/crates/node/src/backend/submit.rs
+++ b/crates/node/src/backend/submit.rs
@@ -6,7 +6,7 @@
 };
 use eelgrassmill_peer::ConfigText;
 use eelgrassmill_stores::{
-    Condition, SettleBudget, Settled, Table, TableError, Txn, Write, settle,
+    CommitStatus, Condition, RetryLimits, Table, TableError, Txn, Write, commit_with_retry,
 };
 use eelgrassmill_timeline::EventKind;
 
@@ -61,12 +61,12 @@
 ) -> Result<Option<SubmitReply>, BackendError> {
     let core = &backend.core;
     let txn = transaction(core.ident.unique(), acceptance);
-    let settled = settle(&core.platform.table, &txn, &SettleBudget::default())
+    let settled = commit_with_retry(&core.platform.table, &txn, &RetryLimits::default())
         .map_err(|e| BackendError::Unavailable(e.to_string()))?;
     match settled {
-        Settled::Committed => {}
-        Settled::NotCommitted(_) => return Ok(None),
-        Settled::Unknown => {
+        CommitStatus::Committed => {}
+        CommitStatus::NotCommitted(_) => return Ok(None),
+        CommitStatus::Unknown => {
             let detail = "the table service gave no answer; ask again with the same id";
             return Err(BackendError::Unknown(detail.to_owned()));
         }
--- a/crates/node/src/loops/planner.rs
+++ b/crates/node/src/loops/planner.rs
@@ -12,7 +12,9 @@
     Transaction, node_key, plan, planner_key, takeover, weights_name,
 };
 use eelgrassmill_peer::PeerNode;
-use eelgrassmill_stores::{SettleBudget, Settled, Table, TableError, WeightStore, settle};
+use eelgrassmill_stores::{
+    CommitStatus, RetryLimits, Table, TableError, WeightStore, commit_with_retry,
+};
 use eelgrassmill_timeline::EventKind;
 use smol_str::{SmolStr, format_smolstr};
 
@@ -183,8 +185,8 @@
         };
         let from: Option<NodeId> = seen.planner.map(|(row, _)| row.node);
         let txn = txn(self.core.ident.unique(), &transaction);
-        match settle(&self.core.platform.table, &txn, &SettleBudget::default()) {
-            Ok(Settled::Committed) => self.begin(quiet_period, from),
+        match commit_with_retry(&self.core.platform.table, &txn, &RetryLimits::default()) {
+            Ok(CommitStatus::Committed) => self.begin(quiet_period, from),
             Ok(_) => {}
             Err(err) => tracing::error!(%err, "takeover is not a settled transaction"),
         }
@@ -407,8 +409,8 @@
         let transaction =
             transaction.under_lease(&ident.node, node_version, &ident.region, planner_version);
         let txn = txn(ident.unique(), &transaction);
-        match settle(&self.core.platform.table, &txn, &SettleBudget::default()) {
-            Ok(settled) => settled == Settled::Committed,
+        match commit_with_retry(&self.core.platform.table, &txn, &RetryLimits::default()) {
+            Ok(settled) => settled == CommitStatus::Committed,
             Err(err) => {
                 tracing::error!(%err, "plan is not a settled transaction");
                 false
--- a/crates/standin/tests/platform.rs
+++ b/crates/standin/tests/platform.rs
@@ -5,9 +5,9 @@
 use eelgrassmill_base::HostState;
 use eelgrassmill_standin::{Standins, engine_specs, expected_answer, plain_specs};
 use eelgrassmill_stores::{
-    Condition, HostList, HttpCaller, HttpHostList, HttpObjectStore, HttpTable, HttpWeightStore,
-    ObjectStore, SettleBudget, Settled, Table, TableError, Txn, TxnOutcome, WeightInfo,
-    WeightStore, Write, settle,
+    CommitStatus, Condition, HostList, HttpCaller, HttpHostList, HttpObjectStore, HttpTable,
+    HttpWeightStore, ObjectStore, RetryLimits, Table, TableError, Txn, TxnOutcome, WeightInfo,
+    WeightStore, Write, commit_with_retry,
 };
 use googletest::prelude::*;
 
@@ -52,10 +52,10 @@
     }
 }
 
-fn budget() -> SettleBudget {
-    SettleBudget {
+fn budget() -> RetryLimits {
+    RetryLimits {
         pause: Duration::from_millis(5),
-        ..SettleBudget::default()
+        ..RetryLimits::default()
     }
 }
 
@@ -100,8 +100,8 @@
         err(pat!(TableError::Unknown(anything())))
     );
     expect_that!(
-        settle(&table, &txn("b", "row", 1), &budget()),
-        ok(eq(&Settled::Committed))
+        commit_with_retry(&table, &txn("b", "row", 1), &budget()),
+        ok(eq(&CommitStatus::Committed))
     );
     expect_that!(table.get("row").unwrap().unwrap().version, eq(2));
 }
--- a/crates/stores/src/lib.rs
+++ b/crates/stores/src/lib.rs
@@ -6,7 +6,7 @@
 mod memory;
 mod objects;
 mod percent;
-mod settle;
+mod retry;
 mod table;
 mod weights;
 
@@ -16,6 +16,6 @@
 pub use crate::memory::{MemoryObjects, MemoryTable};
 pub use crate::objects::{HttpObjectStore, ObjectError, ObjectStore};
 pub use crate::percent::{percent_decode, percent_encode};
-pub use crate::settle::{SettleBudget, SettleError, Settled, settle};
+pub use crate::retry::{CommitStatus, RetryError, RetryLimits, commit_with_retry};
 pub use crate::table::{Condition, Row, Table, TableError, Txn, TxnOutcome, Write};
 pub use crate::weights::{HttpWeightStore, WeightError, WeightInfo, WeightStore};
--- a/crates/stores/src/settle.rs
+++ b/crates/stores/src/retry.rs
@@ -9,7 +9,7 @@
 
 value! {
     /// What became of a transaction.
-    pub enum Settled {
+    pub enum CommitStatus {
         /// Its writes were made, exactly once.
         Committed,
         /// Its writes were not made and will not be. The rows whose condition
@@ -20,7 +20,7 @@
     }
 
     /// How long to try.
-    pub struct SettleBudget {
+    pub struct RetryLimits {
         /// Time after which no new attempt starts.
         pub total: Duration,
         /// Attempts at most.
@@ -30,9 +30,9 @@
     }
 }
 
-impl Default for SettleBudget {
-    fn default() -> SettleBudget {
-        SettleBudget {
+impl Default for RetryLimits {
+    fn default() -> RetryLimits {
+        RetryLimits {
             total: Duration::from_secs(5),
             attempts: 4,
             pause: Duration::from_millis(50),
@@ -42,7 +42,7 @@
 
 /// Why a transaction can't be settled, and so was not sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum SettleError {
+pub enum RetryError {
     /// A row is written without a condition on it, so that a late copy of the
     /// transaction could write it a second time.
     #[error("transaction {txn} writes row {key} without a condition on it")]
@@ -68,11 +68,11 @@
 ///
 /// # Errors
 /// When a written row has no condition; nothing is sent then.
-pub fn settle(
+pub fn commit_with_retry(
     table: &impl Table,
     txn: &Txn,
-    budget: &SettleBudget,
-) -> Result<Settled, SettleError> {
+    budget: &RetryLimits,
+) -> Result<CommitStatus, RetryError> {
     let bases = bases(txn)?;
     let start = Instant::now();
     let mut in_doubt = false;
@@ -84,17 +84,19 @@
             }
         }
         match table.commit(txn) {
-            Ok(TxnOutcome::Committed) => return Ok(Settled::Committed),
-            Ok(TxnOutcome::Conflict(rows)) if !in_doubt => return Ok(Settled::NotCommitted(rows)),
+            Ok(TxnOutcome::Committed) => return Ok(CommitStatus::Committed),
+            Ok(TxnOutcome::Conflict(rows)) if !in_doubt => {
+                return Ok(CommitStatus::NotCommitted(rows));
+            }
             Ok(TxnOutcome::Conflict(rows)) => return Ok(judge(table, txn, &bases, rows)),
             Err(TableError::Unavailable(_)) => {}
             Err(TableError::Unknown(_) | TableError::Protocol(_)) => in_doubt = true,
         }
     }
     if in_doubt {
-        Ok(Settled::Unknown)
+        Ok(CommitStatus::Unknown)
     } else {
-        Ok(Settled::NotCommitted(Vec::new()))
+        Ok(CommitStatus::NotCommitted(Vec::new()))
     }
 }
 
@@ -104,20 +106,20 @@
     version: RowVersion,
 }
 
-fn bases(txn: &Txn) -> Result<Vec<Base<'_>>, SettleError> {
+fn bases(txn: &Txn) -> Result<Vec<Base<'_>>, RetryError> {
     txn.writes
         .iter()
         .map(|write| base(txn, &write.key))
         .collect()
 }
 
-fn base<'a>(txn: &Txn, key: &'a SmolStr) -> Result<Base<'a>, SettleError> {
+fn base<'a>(txn: &Txn, key: &'a SmolStr) -> Result<Base<'a>, RetryError> {
     match txn.conditions.iter().find(|c| c.key == *key) {
         Some(condition) => Ok(Base {
             key,
             version: condition.version,
         }),
-        None => Err(SettleError::Unconditional {
+        None => Err(RetryError::Unconditional {
             txn: txn.id.clone(),
             key: key.clone(),
         }),
@@ -125,10 +127,10 @@
 }
 
 /// Judges a retry that conflicted after an attempt without an answer.
-fn judge(table: &impl Table, txn: &Txn, bases: &[Base<'_>], rows: Vec<Row>) -> Settled {
+fn judge(table: &impl Table, txn: &Txn, bases: &[Base<'_>], rows: Vec<Row>) -> CommitStatus {
     let written = |row: &&Row| bases.iter().any(|base| *base.key == row.key);
     if rows.iter().filter(written).any(|row| row.txn == txn.id) {
-        return Settled::Committed;
+        return CommitStatus::Committed;
     }
     let refuted = bases.iter().any(|base| {
         let row = rows.iter().find(|row| row.key == *base.key);
@@ -136,9 +138,9 @@
         row.is_some_and(|row| row.version == base.version + 1)
     });
     if refuted || (never_again(&txn.conditions, &rows) && untouched(table, bases, &rows)) {
-        return Settled::NotCommitted(rows);
+        return CommitStatus::NotCommitted(rows);
     }
-    Settled::Unknown
+    CommitStatus::Unknown
 }
 
 /// Whether a condition failed that can't come to hold again.
--- a/crates/stores/tests/settle.rs
+++ b/crates/stores/tests/retry.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use eelgrassmill_stores::{
-    Condition, MemoryTable, Row, SettleBudget, SettleError, Settled, Table, TableError, Txn,
-    TxnOutcome, Write, settle,
+    CommitStatus, Condition, MemoryTable, RetryError, RetryLimits, Row, Table, TableError, Txn,
+    TxnOutcome, Write, commit_with_retry,
 };
 use googletest::prelude::*;
 
@@ -22,8 +22,8 @@
     }
 }
 
-fn budget(attempts: u32) -> SettleBudget {
-    SettleBudget {
+fn budget(attempts: u32) -> RetryLimits {
+    RetryLimits {
         total: Duration::from_secs(5),
         attempts,
         pause: Duration::ZERO,
@@ -45,8 +45,8 @@
     let table = seeded();
     table.lose_answers(1);
     expect_that!(
-        settle(&table, &txn("a", "row", 1), &budget(3)),
-        ok(eq(&Settled::Committed))
+        commit_with_retry(&table, &txn("a", "row", 1), &budget(3)),
+        ok(eq(&CommitStatus::Committed))
     );
     expect_that!(table.get("row").unwrap().unwrap().version, eq(2));
 }
@@ -58,8 +58,8 @@
     let table = seeded();
     table.apply_late(1);
     expect_that!(
-        settle(&table, &txn("a", "row", 1), &budget(3)),
-        ok(eq(&Settled::Committed))
+        commit_with_retry(&table, &txn("a", "row", 1), &budget(3)),
+        ok(eq(&CommitStatus::Committed))
     );
     expect_that!(table.parked(), eq(1));
     table.release_parked();
@@ -72,9 +72,9 @@
     // writer must not conclude that it failed: it is applied in the end.
     let table = seeded();
     table.apply_late(3);
-    let settled = settle(&table, &txn("a", "row", 1), &budget(3));
+    let settled = commit_with_retry(&table, &txn("a", "row", 1), &budget(3));
     expect_that!(table.get("row").unwrap().unwrap().txn.as_str(), eq("seed"));
-    expect_that!(settled, ok(eq(&Settled::Unknown)));
+    expect_that!(settled, ok(eq(&CommitStatus::Unknown)));
     table.release_parked();
     expect_that!(table.get("row").unwrap().unwrap().txn.as_str(), eq("a"));
 }
@@ -113,8 +113,8 @@
         table,
         between: vec![txn("other", "row", 1)],
     };
-    let settled = settle(&raced, &txn("a", "row", 1), &budget(3)).unwrap();
-    assert_that!(settled, pat!(Settled::NotCommitted(len(eq(1)))));
+    let settled = commit_with_retry(&raced, &txn("a", "row", 1), &budget(3)).unwrap();
+    assert_that!(settled, pat!(CommitStatus::NotCommitted(len(eq(1)))));
     raced.table.release_parked();
     expect_that!(
         raced.table.get("row").unwrap().unwrap().txn.as_str(),
@@ -132,8 +132,8 @@
         table,
         between: vec![txn("other", "row", 2)],
     };
-    let settled = settle(&raced, &txn("a", "row", 1), &budget(3));
-    expect_that!(settled, ok(eq(&Settled::Unknown)));
+    let settled = commit_with_retry(&raced, &txn("a", "row", 1), &budget(3));
+    expect_that!(settled, ok(eq(&CommitStatus::Unknown)));
 }
 
 #[gtest]
@@ -153,8 +153,8 @@
         key: "guard".into(),
         version: 1,
     });
-    let settled = settle(&raced, &guarded, &budget(3)).unwrap();
-    assert_that!(settled, pat!(Settled::NotCommitted(len(eq(1)))));
+    let settled = commit_with_retry(&raced, &guarded, &budget(3)).unwrap();
+    assert_that!(settled, pat!(CommitStatus::NotCommitted(len(eq(1)))));
     raced.table.release_parked();
     expect_that!(raced.table.get("row").unwrap().unwrap().version, eq(1));
 }
@@ -163,8 +163,8 @@
 fn a_service_that_is_down_leaves_no_doubt() {
     let table = seeded();
     table.set_down(true);
-    let settled = settle(&table, &txn("a", "row", 1), &budget(2));
-    expect_that!(settled, ok(eq(&Settled::NotCommitted(vec![]))));
+    let settled = commit_with_retry(&table, &txn("a", "row", 1), &budget(2));
+    expect_that!(settled, ok(eq(&CommitStatus::NotCommitted(vec![]))));
     expect_that!(table.calls().1, eq(3));
 }
 
@@ -173,7 +173,7 @@
     let table = seeded();
     let mut bare = txn("a", "row", 1);
     bare.conditions.clear();
-    let settled = settle(&table, &bare, &budget(2));
-    assert_that!(settled, err(pat!(SettleError::Unconditional { .. })));
+    let settled = commit_with_retry(&table, &bare, &budget(2));
+    assert_that!(settled, err(pat!(RetryError::Unconditional { .. })));
     expect_that!(table.calls().1, eq(1));
 }
