--- a/crates/engine/src/control.rs
+++ b/crates/engine/src/control.rs
@@ -104,7 +104,7 @@
         let reply = caller.get("/health")?;
         match reply.status.as_u16() {
             OK => Ok(caller.json(&reply)?),
-            _ => Err(caller.unexpected(&reply).into()),
+            _ => Err(caller.unexpected_status(&reply).into()),
         }
     }
 
@@ -146,7 +146,7 @@
         let reply = caller.get(&format!("/cache-events?since={since}"))?;
         match reply.status.as_u16() {
             OK => Ok(caller.json(&reply)?),
-            _ => Err(caller.unexpected(&reply).into()),
+            _ => Err(caller.unexpected_status(&reply).into()),
         }
     }
 
@@ -159,7 +159,7 @@
         let reply = caller.post_json(&format!("/v1/cancel/{}", percent_encode(request)), &())?;
         match reply.status.as_u16() {
             OK => Ok(caller.json::<Cancelled>(&reply)?.cancelled),
-            _ => Err(caller.unexpected(&reply).into()),
+            _ => Err(caller.unexpected_status(&reply).into()),
         }
     }
 
@@ -167,14 +167,14 @@
         HttpCaller::builder(address)
             .step_timeout(self.step_timeout)
             .total_timeout(self.total_timeout)
-            .max_answer(MAX_ANSWER)
+            .max_body_bytes(MAX_ANSWER)
             .build()
     }
 }
 
 fn order_reply(caller: &HttpCaller, reply: &Reply) -> Result<OrderReply, TargetError> {
     if !matches!(reply.status.as_u16(), OK | CONFLICT) {
-        return Err(caller.unexpected(reply).into());
+        return Err(caller.unexpected_status(reply).into());
     }
     Ok(caller.json(reply)?)
 }
--- a/crates/engine/src/error.rs
+++ b/crates/engine/src/error.rs
@@ -31,9 +31,11 @@
     fn from(error: CallError) -> TargetError {
         let text = error.to_string();
         match error {
-            CallError::Refused(_) | CallError::BadRequest(_) => TargetError::NotSent(text),
-            CallError::NoAnswer { .. } => TargetError::Unknown(text),
-            CallError::BadAnswer { .. } => TargetError::BadAnswer(text),
+            CallError::ConnectionRefused(_) | CallError::InvalidRequest(_) => {
+                TargetError::NotSent(text)
+            }
+            CallError::NoResponse { .. } => TargetError::Unknown(text),
+            CallError::InvalidResponse { .. } => TargetError::BadAnswer(text),
         }
     }
 }
--- a/crates/engine/tests/oxhttp.rs
+++ b/crates/engine/tests/oxhttp.rs
@@ -104,7 +104,7 @@
     expect_that!(body.to_vec(), ok(is_empty()));
     let address = answer_once("HTTP/1.1 200 OK\r\n\r\nthe whole answer");
     let ours = HttpCaller::builder(address.to_string()).build().get("/");
-    expect_that!(ours, err(pat!(CallError::BadAnswer { .. })));
+    expect_that!(ours, err(pat!(CallError::InvalidResponse { .. })));
 }
 
 #[gtest]
--- a/crates/stores/src/call.rs
+++ b/crates/stores/src/call.rs
@@ -12,7 +12,7 @@
 
 const DEFAULT_STEP_TIMEOUT: Duration = Duration::from_millis(1_500);
 const DEFAULT_TOTAL_TIMEOUT: Duration = Duration::from_secs(5);
-const DEFAULT_MAX_ANSWER: usize = 16 << 20;
+const DEFAULT_MAX_BODY_BYTES: usize = 16 << 20;
 const READ_BLOCK: usize = 16 << 10;
 
 /// Calls one HTTP server by a new connection for each call.
@@ -21,7 +21,7 @@
     address: SmolStr,
     step_timeout: Duration,
     total_timeout: Duration,
-    max_answer: usize,
+    max_body_bytes: usize,
 }
 
 /// Sets up an [`HttpCaller`].
@@ -42,10 +42,10 @@
 pub enum CallError {
     /// The server refused the connection, so that no byte reached it.
     #[error("connection refused by {0}")]
-    Refused(SmolStr),
+    ConnectionRefused(SmolStr),
     /// The request may have reached the server; the text says what broke.
     #[error("no answer from {address}: {cause}")]
-    NoAnswer {
+    NoResponse {
         /// Who was called.
         address: SmolStr,
         /// What broke.
@@ -53,7 +53,7 @@
     },
     /// The answer isn't what the protocol allows.
     #[error("bad answer from {address}: {cause}")]
-    BadAnswer {
+    InvalidResponse {
         /// Who was called.
         address: SmolStr,
         /// What is wrong with it.
@@ -61,7 +61,7 @@
     },
     /// The request can't be written; nothing was sent.
     #[error("request can't be sent: {0}")]
-    BadRequest(String),
+    InvalidRequest(String),
 }
 
 impl HttpCallerBuilder {
@@ -79,8 +79,8 @@
     }
 
     /// Bounds the bytes of an answer's body.
-    pub fn max_answer(mut self, bytes: usize) -> HttpCallerBuilder {
-        self.0.max_answer = bytes;
+    pub fn max_body_bytes(mut self, bytes: usize) -> HttpCallerBuilder {
+        self.0.max_body_bytes = bytes;
         self
     }
 
@@ -97,7 +97,7 @@
             address: address.into(),
             step_timeout: DEFAULT_STEP_TIMEOUT,
             total_timeout: DEFAULT_TOTAL_TIMEOUT,
-            max_answer: DEFAULT_MAX_ANSWER,
+            max_body_bytes: DEFAULT_MAX_BODY_BYTES,
         })
     }
 
@@ -114,7 +114,8 @@
     /// # Errors
     /// When no whole answer came.
     pub fn post_json(&self, path: &str, value: &impl Serialize) -> Result<Reply, CallError> {
-        let body = serde_json::to_vec(value).map_err(|e| CallError::BadRequest(e.to_string()))?;
+        let body =
+            serde_json::to_vec(value).map_err(|e| CallError::InvalidRequest(e.to_string()))?;
         self.call(Method::POST, path, body)
     }
 
@@ -129,14 +130,14 @@
     /// Reads a reply's body as JSON.
     ///
     /// # Errors
-    /// [`CallError::BadAnswer`] when it isn't what was asked for.
+    /// [`CallError::InvalidResponse`] when it isn't what was asked for.
     pub fn json<T: DeserializeOwned>(&self, reply: &Reply) -> Result<T, CallError> {
-        serde_json::from_slice(&reply.body).map_err(|e| self.bad_answer(e.to_string()))
+        serde_json::from_slice(&reply.body).map_err(|e| self.invalid_response(e.to_string()))
     }
 
     /// The error for an answer with a status that the protocol doesn't know.
-    pub fn unexpected(&self, reply: &Reply) -> CallError {
-        self.bad_answer(format!("status {}", reply.status.as_u16()))
+    pub fn unexpected_status(&self, reply: &Reply) -> CallError {
+        self.invalid_response(format!("status {}", reply.status.as_u16()))
     }
 
     fn call(&self, method: Method, path: &str, body: Vec<u8>) -> Result<Reply, CallError> {
@@ -146,9 +147,9 @@
             .uri(format!("http://{}{path}", self.address))
             .header(CONTENT_TYPE, "application/json")
             .body(Body::from(body))
-            .map_err(|e| CallError::BadRequest(e.to_string()))?;
+            .map_err(|e| CallError::InvalidRequest(e.to_string()))?;
         let client = Client::new().with_global_timeout(self.step_timeout);
-        let response = client.request(req).map_err(|e| self.no_answer(&e))?;
+        let response = client.request(req).map_err(|e| self.transport_error(&e))?;
         self.read(response, start)
     }
 
@@ -157,23 +158,25 @@
         // The client reads an answer with neither length nor chunks, legal in
         // HTTP/1.1, as an empty one: a row would look absent. Ours always say.
         if !is_framed(response.headers()) && status != StatusCode::NO_CONTENT {
-            return Err(self.bad_answer("neither length nor chunks".to_owned()));
+            return Err(self.invalid_response("neither length nor chunks".to_owned()));
         }
         let mut stream = response.into_body();
         let mut body = Vec::new();
         let mut block = vec![0; READ_BLOCK];
         loop {
-            let n = stream.read(&mut block).map_err(|e| self.no_answer(&e))?;
+            let n = stream
+                .read(&mut block)
+                .map_err(|e| self.transport_error(&e))?;
             if n == 0 {
                 return Ok(Reply { status, body });
             }
             body.extend_from_slice(&block[..n]);
-            if body.len() > self.max_answer {
-                return Err(self.bad_answer(format!("over {} bytes", self.max_answer)));
+            if body.len() > self.max_body_bytes {
+                return Err(self.invalid_response(format!("over {} bytes", self.max_body_bytes)));
             }
             if start.elapsed() > self.total_timeout {
                 let cause = "the whole answer took too long".to_owned();
-                return Err(CallError::NoAnswer {
+                return Err(CallError::NoResponse {
                     address: self.address.clone(),
                     cause,
                 });
@@ -181,21 +184,21 @@
         }
     }
 
-    fn no_answer(&self, error: &std::io::Error) -> CallError {
+    fn transport_error(&self, error: &std::io::Error) -> CallError {
         match error.kind() {
             // Only connect(2) gives this; a time-out may also come after the
             // request was written, so it proves nothing.
-            ErrorKind::ConnectionRefused => CallError::Refused(self.address.clone()),
-            ErrorKind::InvalidInput => CallError::BadRequest(error.to_string()),
-            _ => CallError::NoAnswer {
+            ErrorKind::ConnectionRefused => CallError::ConnectionRefused(self.address.clone()),
+            ErrorKind::InvalidInput => CallError::InvalidRequest(error.to_string()),
+            _ => CallError::NoResponse {
                 address: self.address.clone(),
                 cause: error.to_string(),
             },
         }
     }
 
-    fn bad_answer(&self, cause: String) -> CallError {
-        CallError::BadAnswer {
+    fn invalid_response(&self, cause: String) -> CallError {
+        CallError::InvalidResponse {
             address: self.address.clone(),
             cause,
         }
--- a/crates/stores/src/hosts.rs
+++ b/crates/stores/src/hosts.rs
@@ -37,7 +37,7 @@
         let reply = self.caller.get("/hosts")?;
         match reply.status {
             StatusCode::OK => Ok(self.caller.json(&reply)?),
-            _ => Err(self.caller.unexpected(&reply).into()),
+            _ => Err(self.caller.unexpected_status(&reply).into()),
         }
     }
 }
--- a/crates/stores/src/http_table.rs
+++ b/crates/stores/src/http_table.rs
@@ -30,7 +30,7 @@
             StatusCode::OK => self.caller.json(&reply).map(Some).map_err(read_error),
             StatusCode::NOT_FOUND => Ok(None),
             StatusCode::SERVICE_UNAVAILABLE => Err(refused()),
-            _ => Err(read_error(self.caller.unexpected(&reply))),
+            _ => Err(read_error(self.caller.unexpected_status(&reply))),
         }
     }
 
@@ -39,7 +39,7 @@
         match reply.status {
             StatusCode::OK => self.caller.json(&reply).map_err(read_error),
             StatusCode::SERVICE_UNAVAILABLE => Err(refused()),
-            _ => Err(read_error(self.caller.unexpected(&reply))),
+            _ => Err(read_error(self.caller.unexpected_status(&reply))),
         }
     }
 
@@ -51,7 +51,7 @@
         match reply.status {
             StatusCode::OK => self.caller.json(&reply).map_err(write_error),
             StatusCode::SERVICE_UNAVAILABLE => Err(refused()),
-            _ => Err(write_error(self.caller.unexpected(&reply))),
+            _ => Err(write_error(self.caller.unexpected_status(&reply))),
         }
     }
 }
@@ -63,7 +63,7 @@
 
 fn read_error(error: CallError) -> TableError {
     match error {
-        CallError::BadAnswer { .. } => TableError::Protocol(error.to_string()),
+        CallError::InvalidResponse { .. } => TableError::Protocol(error.to_string()),
         // A read has no effect, whatever broke.
         _ => TableError::Unavailable(error.to_string()),
     }
@@ -71,11 +71,11 @@
 
 fn write_error(error: CallError) -> TableError {
     match error {
-        CallError::Refused(_) | CallError::BadRequest(_) => {
+        CallError::ConnectionRefused(_) | CallError::InvalidRequest(_) => {
             TableError::Unavailable(error.to_string())
         }
         // A spoilt answer says as little about the write as none at all.
-        CallError::NoAnswer { .. } | CallError::BadAnswer { .. } => {
+        CallError::NoResponse { .. } | CallError::InvalidResponse { .. } => {
             TableError::Unknown(error.to_string())
         }
     }
--- a/crates/stores/src/objects.rs
+++ b/crates/stores/src/objects.rs
@@ -43,7 +43,7 @@
         match reply.status {
             StatusCode::OK => Ok(Some(reply.body)),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(self.caller.unexpected(&reply).into()),
+            _ => Err(self.caller.unexpected_status(&reply).into()),
         }
     }
 
@@ -52,7 +52,7 @@
         if reply.status.is_success() {
             return Ok(());
         }
-        Err(self.caller.unexpected(&reply).into())
+        Err(self.caller.unexpected_status(&reply).into())
     }
 }
 
--- a/crates/stores/src/weights.rs
+++ b/crates/stores/src/weights.rs
@@ -49,7 +49,7 @@
         match reply.status {
             StatusCode::OK => Ok(Some(self.caller.json(&reply)?)),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(self.caller.unexpected(&reply).into()),
+            _ => Err(self.caller.unexpected_status(&reply).into()),
         }
     }
 }
