--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -117,8 +117,8 @@
     pub(crate) fn switch_on(&self, fault: PlatformFault, time: Option<Duration>, n: Option<u64>) {
         let count = u32::try_from(n.unwrap_or(1)).unwrap_or(u32::MAX);
         match fault {
-            PlatformFault::LoseAnswer => self.table.lose_answers(count),
-            PlatformFault::ApplyLate => self.table.apply_late(count),
+            PlatformFault::LoseAnswer => self.table.lose_responses(count),
+            PlatformFault::ApplyLate => self.table.delay_commits(count),
             _ => {}
         }
         self.faults.switch_on(fault, time, n);
@@ -128,10 +128,10 @@
     pub(crate) fn switch_off(&self, fault: PlatformFault) {
         self.faults.switch_off(fault);
         match fault {
-            PlatformFault::LoseAnswer => self.table.lose_answers(0),
+            PlatformFault::LoseAnswer => self.table.lose_responses(0),
             PlatformFault::ApplyLate => {
-                self.table.apply_late(0);
-                self.table.release_parked();
+                self.table.delay_commits(0);
+                self.table.apply_delayed();
             }
             _ => {}
         }
--- a/crates/stores/src/memory.rs
+++ b/crates/stores/src/memory.rs
@@ -22,7 +22,7 @@
     rows: BTreeMap<SmolStr, Stored>,
     faults: Faults,
     /// Writes that were taken and not yet made, oldest first.
-    parked: Vec<Txn>,
+    delayed: Vec<Txn>,
     reads: u64,
     commits: u64,
 }
@@ -37,8 +37,8 @@
 #[derive(Debug, Default)]
 struct Faults {
     down: bool,
-    lose_answers: u32,
-    apply_late: u32,
+    lose_responses: u32,
+    delay_commits: u32,
 }
 
 impl MemoryTable {
@@ -48,30 +48,30 @@
     }
 
     /// Refuses every call without effect while `down`.
-    pub fn set_down(&self, down: bool) {
+    pub fn set_unavailable(&self, down: bool) {
         self.lock().faults.down = down;
     }
 
     /// Makes the writes of the next `count` commits and loses their answers.
-    pub fn lose_answers(&self, count: u32) {
-        self.lock().faults.lose_answers = count;
+    pub fn lose_responses(&self, count: u32) {
+        self.lock().faults.lose_responses = count;
     }
 
     /// Parks the next `count` commits until released; their callers get no answer.
-    pub fn apply_late(&self, count: u32) {
-        self.lock().faults.apply_late = count;
+    pub fn delay_commits(&self, count: u32) {
+        self.lock().faults.delay_commits = count;
     }
 
     /// Applies the parked commits in the order in which they came.
-    pub fn release_parked(&self) -> Vec<TxnOutcome> {
+    pub fn apply_delayed(&self) -> Vec<TxnOutcome> {
         let mut inner = self.lock();
-        let parked = std::mem::take(&mut inner.parked);
-        parked.iter().map(|txn| inner.apply(txn)).collect()
+        let delayed = std::mem::take(&mut inner.delayed);
+        delayed.iter().map(|txn| inner.apply(txn)).collect()
     }
 
-    /// How many commits are parked.
-    pub fn parked(&self) -> usize {
-        self.lock().parked.len()
+    /// How many commits are delayed.
+    pub fn delayed(&self) -> usize {
+        self.lock().delayed.len()
     }
 
     /// Reads and commits asked for so far, refused ones included.
@@ -87,7 +87,7 @@
     fn lock_for_read(&self) -> Result<MutexGuard<'_, Inner>, TableError> {
         let mut inner = self.lock();
         inner.reads += 1;
-        inner.check_up()?;
+        inner.check_available()?;
         Ok(inner)
     }
 }
@@ -109,13 +109,13 @@
     fn commit(&self, txn: &Txn) -> Result<TxnOutcome, TableError> {
         let mut inner = self.lock();
         inner.commits += 1;
-        inner.check_up()?;
-        if take_one(&mut inner.faults.apply_late) {
-            inner.parked.push(txn.clone());
+        inner.check_available()?;
+        if decrement(&mut inner.faults.delay_commits) {
+            inner.delayed.push(txn.clone());
             return Err(TableError::Unknown("time-out".to_owned()));
         }
         let outcome = inner.apply(txn);
-        if take_one(&mut inner.faults.lose_answers) {
+        if decrement(&mut inner.faults.lose_responses) {
             return Err(TableError::Unknown("answer lost".to_owned()));
         }
         Ok(outcome)
@@ -123,7 +123,7 @@
 }
 
 impl Inner {
-    fn check_up(&self) -> Result<(), TableError> {
+    fn check_available(&self) -> Result<(), TableError> {
         if self.faults.down {
             return Err(TableError::Unavailable("down".to_owned()));
         }
@@ -169,7 +169,7 @@
     }
 }
 
-fn take_one(count: &mut u32) -> bool {
+fn decrement(count: &mut u32) -> bool {
     let any = *count > 0;
     *count = count.saturating_sub(1);
     any
--- a/crates/stores/tests/memory.rs
+++ b/crates/stores/tests/memory.rs
@@ -27,10 +27,10 @@
 #[gtest]
 fn a_refused_call_has_no_effect() {
     let table = MemoryTable::new();
-    table.set_down(true);
+    table.set_unavailable(true);
     let answer = table.commit(&write("a".into(), "k", 0, Some("v".into())));
     assert_that!(answer, err(pat!(TableError::Unavailable(anything()))));
-    table.set_down(false);
+    table.set_unavailable(false);
     expect_that!(table.get("k"), ok(none()));
 }
 
--- a/crates/stores/tests/retry.rs
+++ b/crates/stores/tests/retry.rs
@@ -43,7 +43,7 @@
     // The service makes the write, and the answer is lost on its way. A writer
     // that took this for a failure would write a second time.
     let table = seeded();
-    table.lose_answers(1);
+    table.lose_responses(1);
     expect_that!(
         commit_with_retry(&table, &txn("a", "row", 1), &budget(3)),
         ok(eq(&CommitStatus::Committed))
@@ -56,13 +56,13 @@
     // The first copy waits within the service while the retry is made. When it
     // is applied at last, the row would move on with nobody expecting it.
     let table = seeded();
-    table.apply_late(1);
+    table.delay_commits(1);
     expect_that!(
         commit_with_retry(&table, &txn("a", "row", 1), &budget(3)),
         ok(eq(&CommitStatus::Committed))
     );
-    expect_that!(table.parked(), eq(1));
-    table.release_parked();
+    expect_that!(table.delayed(), eq(1));
+    table.apply_delayed();
     expect_that!(table.get("row").unwrap().unwrap().version, eq(2));
 }
 
@@ -71,11 +71,11 @@
     // Every copy of the write is parked, and the row shows its old value. The
     // writer must not conclude that it failed: it is applied in the end.
     let table = seeded();
-    table.apply_late(3);
+    table.delay_commits(3);
     let settled = commit_with_retry(&table, &txn("a", "row", 1), &budget(3));
     expect_that!(table.get("row").unwrap().unwrap().txn.as_str(), eq("seed"));
     expect_that!(settled, ok(eq(&CommitStatus::Unknown)));
-    table.release_parked();
+    table.apply_delayed();
     expect_that!(table.get("row").unwrap().unwrap().txn.as_str(), eq("a"));
 }
 
@@ -108,14 +108,14 @@
 #[gtest]
 fn another_writer_at_the_next_version_proves_that_ours_failed() {
     let table = seeded();
-    table.apply_late(1);
+    table.delay_commits(1);
     let raced = Raced {
         table,
         between: vec![txn("other", "row", 1)],
     };
     let settled = commit_with_retry(&raced, &txn("a", "row", 1), &budget(3)).unwrap();
     assert_that!(settled, pat!(CommitStatus::NotCommitted(len(eq(1)))));
-    raced.table.release_parked();
+    raced.table.apply_delayed();
     expect_that!(
         raced.table.get("row").unwrap().unwrap().txn.as_str(),
         eq("other")
@@ -127,7 +127,7 @@
     // Ours may have been written and then overwritten by the next writer; the
     // row no longer shows it. Saying "failed" would be a guess.
     let table = seeded();
-    table.lose_answers(1);
+    table.lose_responses(1);
     let raced = Raced {
         table,
         between: vec![txn("other", "row", 2)],
@@ -143,7 +143,7 @@
     // write can apply any more.
     let table = seeded();
     table.commit(&txn("seed", "guard", 0)).unwrap();
-    table.apply_late(1);
+    table.delay_commits(1);
     let raced = Raced {
         table,
         between: vec![txn("other", "guard", 1)],
@@ -155,14 +155,14 @@
     });
     let settled = commit_with_retry(&raced, &guarded, &budget(3)).unwrap();
     assert_that!(settled, pat!(CommitStatus::NotCommitted(len(eq(1)))));
-    raced.table.release_parked();
+    raced.table.apply_delayed();
     expect_that!(raced.table.get("row").unwrap().unwrap().version, eq(1));
 }
 
 #[gtest]
 fn a_service_that_is_down_leaves_no_doubt() {
     let table = seeded();
-    table.set_down(true);
+    table.set_unavailable(true);
     let settled = commit_with_retry(&table, &txn("a", "row", 1), &budget(2));
     expect_that!(settled, ok(eq(&CommitStatus::NotCommitted(vec![]))));
     expect_that!(table.calls().1, eq(3));
