--- a/crates/stores/src/call.rs
+++ b/crates/stores/src/call.rs
@@ -1,4 +1,4 @@
-//! One blocking HTTP call with bounds on time and size.
+//! A blocking HTTP client with limits on time and body size.
 
 use std::io::{ErrorKind, Read};
 use std::time::{Duration, Instant};
@@ -13,9 +13,9 @@
 const DEFAULT_STEP_TIMEOUT: Duration = Duration::from_millis(1_500);
 const DEFAULT_TOTAL_TIMEOUT: Duration = Duration::from_secs(5);
 const DEFAULT_MAX_BODY_BYTES: usize = 16 << 20;
-const READ_BLOCK: usize = 16 << 10;
+const READ_BUFFER_BYTES: usize = 16 << 10;
 
-/// Calls one HTTP server by a new connection for each call.
+/// Blocking HTTP client for one server. Opens a new connection for each request.
 #[derive(Debug)]
 pub struct HttpCaller {
     address: SmolStr,
@@ -24,74 +24,75 @@
     max_body_bytes: usize,
 }
 
-/// Sets up an [`HttpCaller`].
+/// Builder of an [`HttpCaller`].
 #[derive(Debug)]
 pub struct HttpCallerBuilder(HttpCaller);
 
-/// A whole answer.
+/// An HTTP response with its body read in full.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reply {
-    /// Its status.
+    /// Status code.
     pub status: StatusCode,
-    /// Its body.
+    /// Body bytes.
     pub body: Vec<u8>,
 }
 
-/// Why a call gave no whole answer.
+/// Why a call returned no complete response.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// The server refused the connection, so that no byte reached it.
+    /// The server refused the connection, so no byte of the request reached it.
     #[error("connection refused by {0}")]
     ConnectionRefused(SmolStr),
-    /// The request may have reached the server; the text says what broke.
-    #[error("no answer from {address}: {cause}")]
+    /// The request may have reached the server, but no complete response came back.
+    #[error("no complete response from {address}: {cause}")]
     NoResponse {
-        /// Who was called.
+        /// Address of the server.
         address: SmolStr,
-        /// What broke.
+        /// The I/O error or timeout.
         cause: String,
     },
-    /// The answer isn't what the protocol allows.
-    #[error("bad answer from {address}: {cause}")]
+    /// The response violates the protocol.
+    #[error("invalid response from {address}: {cause}")]
     InvalidResponse {
-        /// Who was called.
+        /// Address of the server.
         address: SmolStr,
-        /// What is wrong with it.
+        /// How the response violates the protocol.
         cause: String,
     },
-    /// The request can't be written; nothing was sent.
-    #[error("request can't be sent: {0}")]
+    /// The request could not be built; nothing was sent.
+    #[error("request could not be built: {0}")]
     InvalidRequest(String),
 }
 
 impl HttpCallerBuilder {
-    /// Bounds the connect, and each read and write, on its own. The head of an
-    /// answer is bounded by this for each read and to 8 KiB, and by nothing else.
+    /// Timeout of the connect and of each single read and write. The response head
+    /// is limited to 8 KiB and by this timeout for each read, but not in total time.
     pub fn step_timeout(mut self, timeout: Duration) -> HttpCallerBuilder {
         self.0.step_timeout = timeout;
         self
     }
 
-    /// Bounds the reading of the whole body, checked between reads.
+    /// Timeout from the start of a call to the end of its body, checked between reads of
+    /// the body.
     pub fn total_timeout(mut self, timeout: Duration) -> HttpCallerBuilder {
         self.0.total_timeout = timeout;
         self
     }
 
-    /// Bounds the bytes of an answer's body.
+    /// Maximum size of a response body in bytes.
     pub fn max_body_bytes(mut self, bytes: usize) -> HttpCallerBuilder {
         self.0.max_body_bytes = bytes;
         self
     }
 
-    /// The caller as set up.
+    /// Returns the configured caller.
     pub fn build(self) -> HttpCaller {
         self.0
     }
 }
 
 impl HttpCaller {
-    /// Sets up calls to `address`, `IP:PORT`.
+    /// Returns a builder of a caller for the server at `address`, given as `IP:PORT`.
     pub fn builder(address: impl Into<SmolStr>) -> HttpCallerBuilder {
         HttpCallerBuilder(HttpCaller {
             address: address.into(),
@@ -101,41 +102,41 @@
         })
     }
 
-    /// Gets `path`.
+    /// Sends a GET request for `path`.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// When no complete response was received.
     pub fn get(&self, path: &str) -> Result<Reply, CallError> {
         self.call(Method::GET, path, Vec::new())
     }
 
-    /// Posts `value` as JSON to `path`.
+    /// Sends `value` as JSON in a POST request to `path`.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// When no complete response was received.
     pub fn post_json(&self, path: &str, value: &impl Serialize) -> Result<Reply, CallError> {
         let body =
             serde_json::to_vec(value).map_err(|e| CallError::InvalidRequest(e.to_string()))?;
         self.call(Method::POST, path, body)
     }
 
-    /// Puts `body` at `path`.
+    /// Sends `body` in a PUT request to `path`.
     ///
     /// # Errors
-    /// When no whole answer came.
+    /// When no complete response was received.
     pub fn put(&self, path: &str, body: Vec<u8>) -> Result<Reply, CallError> {
         self.call(Method::PUT, path, body)
     }
 
-    /// Reads a reply's body as JSON.
+    /// Deserializes the body of `reply` from JSON.
     ///
     /// # Errors
-    /// [`CallError::InvalidResponse`] when it isn't what was asked for.
+    /// [`CallError::InvalidResponse`] when the body doesn't match `T`.
     pub fn json<T: DeserializeOwned>(&self, reply: &Reply) -> Result<T, CallError> {
         serde_json::from_slice(&reply.body).map_err(|e| self.invalid_response(e.to_string()))
     }
 
-    /// The error for an answer with a status that the protocol doesn't know.
+    /// Returns the error for a status that the protocol doesn't define for this request.
     pub fn unexpected_status(&self, reply: &Reply) -> CallError {
         self.invalid_response(format!("status {}", reply.status.as_u16()))
     }
@@ -155,27 +156,32 @@
 
     fn read(&self, response: Response<Body>, start: Instant) -> Result<Reply, CallError> {
         let status = response.status();
-        // The client reads an answer with neither length nor chunks, legal in
-        // HTTP/1.1, as an empty one: a row would look absent. Ours always say.
+        // oxhttp reads a response without Content-Length and Transfer-Encoding, which
+        // HTTP/1.1 allows, as empty, so an existing row would look absent. Our
+        // servers always send one of the two.
         if !is_framed(response.headers()) && status != StatusCode::NO_CONTENT {
-            return Err(self.invalid_response("neither length nor chunks".to_owned()));
+            return Err(
+                self.invalid_response("neither Content-Length nor Transfer-Encoding".to_owned())
+            );
         }
         let mut stream = response.into_body();
         let mut body = Vec::new();
-        let mut block = vec![0; READ_BLOCK];
+        let mut buf = vec![0; READ_BUFFER_BYTES];
         loop {
             let n = stream
-                .read(&mut block)
+                .read(&mut buf)
                 .map_err(|e| self.transport_error(&e))?;
             if n == 0 {
                 return Ok(Reply { status, body });
             }
-            body.extend_from_slice(&block[..n]);
+            body.extend_from_slice(&buf[..n]);
             if body.len() > self.max_body_bytes {
-                return Err(self.invalid_response(format!("over {} bytes", self.max_body_bytes)));
+                return Err(
+                    self.invalid_response(format!("body exceeds {} bytes", self.max_body_bytes))
+                );
             }
             if start.elapsed() > self.total_timeout {
-                let cause = "the whole answer took too long".to_owned();
+                let cause = "call exceeded the total timeout".to_owned();
                 return Err(CallError::NoResponse {
                     address: self.address.clone(),
                     cause,
@@ -186,8 +192,8 @@
 
     fn transport_error(&self, error: &std::io::Error) -> CallError {
         match error.kind() {
-            // Only connect(2) gives this; a time-out may also come after the
-            // request was written, so it proves nothing.
+            // Only connect(2) returns this. A timeout may also occur after the request
+            // was written, so it doesn't show that nothing was sent.
             ErrorKind::ConnectionRefused => CallError::ConnectionRefused(self.address.clone()),
             ErrorKind::InvalidInput => CallError::InvalidRequest(error.to_string()),
             _ => CallError::NoResponse {
--- a/crates/stores/src/hosts.rs
+++ b/crates/stores/src/hosts.rs
@@ -1,32 +1,32 @@
-//! The platform's host list.
+//! The platform's host list and its HTTP client.
 
 use eelgrassmill_base::HostEntry;
 use oxhttp::model::StatusCode;
 
 use crate::{CallError, HttpCaller};
 
-/// The list of live and leaving hosts, which lags by seconds.
+/// The list of live and leaving hosts, which may be several seconds out of date.
 pub trait HostList: Send + Sync + 'static {
-    /// The whole list.
+    /// Returns the whole list.
     ///
     /// # Errors
-    /// When it can't be had.
+    /// When the list can't be fetched.
     fn hosts(&self) -> Result<Vec<HostEntry>, HostListError>;
 }
 
-/// Why the host list can't be had.
+/// Why the host list can't be fetched.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("host list unavailable: {0}")]
 pub struct HostListError(#[from] pub CallError);
 
-/// Client of the platform's host list.
+/// HTTP client of the platform's host list.
 #[derive(Debug)]
 pub struct HttpHostList {
     caller: HttpCaller,
 }
 
 impl HttpHostList {
-    /// A client that calls as `caller` is set up to.
+    /// Creates a client that sends its requests through `caller`.
     pub fn new(caller: HttpCaller) -> HttpHostList {
         HttpHostList { caller }
     }
--- a/crates/stores/src/http_table.rs
+++ b/crates/stores/src/http_table.rs
@@ -1,4 +1,4 @@
-//! The table service over HTTP.
+//! HTTP client of the table service.
 
 use oxhttp::model::StatusCode;
 
@@ -6,14 +6,14 @@
     CallError, HttpCaller, Reply, Row, Table, TableError, Txn, TxnOutcome, percent_encode,
 };
 
-/// Client of the platform's table service.
+/// HTTP client of the platform's table service.
 #[derive(Debug)]
 pub struct HttpTable {
     caller: HttpCaller,
 }
 
 impl HttpTable {
-    /// A client that calls as `caller` is set up to.
+    /// Creates a client that sends its requests through `caller`.
     pub fn new(caller: HttpCaller) -> HttpTable {
         HttpTable { caller }
     }
@@ -29,7 +29,7 @@
         match reply.status {
             StatusCode::OK => self.caller.json(&reply).map(Some).map_err(read_error),
             StatusCode::NOT_FOUND => Ok(None),
-            StatusCode::SERVICE_UNAVAILABLE => Err(refused()),
+            StatusCode::SERVICE_UNAVAILABLE => Err(service_unavailable()),
             _ => Err(read_error(self.caller.unexpected_status(&reply))),
         }
     }
@@ -38,7 +38,7 @@
         let reply = self.read(&format!("/table/rows?prefix={}", percent_encode(prefix)))?;
         match reply.status {
             StatusCode::OK => self.caller.json(&reply).map_err(read_error),
-            StatusCode::SERVICE_UNAVAILABLE => Err(refused()),
+            StatusCode::SERVICE_UNAVAILABLE => Err(service_unavailable()),
             _ => Err(read_error(self.caller.unexpected_status(&reply))),
         }
     }
@@ -50,21 +50,21 @@
             .map_err(write_error)?;
         match reply.status {
             StatusCode::OK => self.caller.json(&reply).map_err(write_error),
-            StatusCode::SERVICE_UNAVAILABLE => Err(refused()),
+            StatusCode::SERVICE_UNAVAILABLE => Err(service_unavailable()),
             _ => Err(write_error(self.caller.unexpected_status(&reply))),
         }
     }
 }
 
-/// The service's own word that it did nothing.
-fn refused() -> TableError {
-    TableError::Unavailable("the service refuses".to_owned())
+/// Error for status 503, by which the service states that the call had no effect.
+fn service_unavailable() -> TableError {
+    TableError::Unavailable("status 503".to_owned())
 }
 
 fn read_error(error: CallError) -> TableError {
     match error {
         CallError::InvalidResponse { .. } => TableError::Protocol(error.to_string()),
-        // A read has no effect, whatever broke.
+        // A read has no effect, whatever the error.
         _ => TableError::Unavailable(error.to_string()),
     }
 }
@@ -74,7 +74,7 @@
         CallError::ConnectionRefused(_) | CallError::InvalidRequest(_) => {
             TableError::Unavailable(error.to_string())
         }
-        // A spoilt answer says as little about the write as none at all.
+        // An invalid response doesn't show whether the write took effect either.
         CallError::NoResponse { .. } | CallError::InvalidResponse { .. } => {
             TableError::Unknown(error.to_string())
         }
--- a/crates/stores/src/lib.rs
+++ b/crates/stores/src/lib.rs
@@ -1,4 +1,4 @@
-//! Traits and HTTP clients for the platform: table service, object store, weight store and host list.
+//! Traits and HTTP clients for the platform's services: table service, object store, weight store and host list.
 
 mod call;
 mod hosts;
--- a/crates/stores/src/memory.rs
+++ b/crates/stores/src/memory.rs
@@ -1,6 +1,6 @@
-//! The table service and object store within one process.
+//! In-memory table and object store.
 //!
-//! One definition of their semantics for the stand-in and for tests of policy.
+//! They define the semantics that the stand-in platform and the tests of policies share.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -10,7 +10,7 @@
 
 use crate::{Condition, ObjectError, ObjectStore, Row, Table, TableError, Txn, TxnOutcome, Write};
 
-/// A table in memory, with switches for the faults of the real one.
+/// An in-memory table that can inject the faults of the real service.
 #[derive(Debug, Default)]
 pub struct MemoryTable {
     inner: Mutex<Inner>,
@@ -18,10 +18,10 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// Deleted rows stay as tombstones, so that a version is never used twice.
+    /// Deleted rows are kept as tombstones so that a version is never reused.
     rows: BTreeMap<SmolStr, Stored>,
     faults: Faults,
-    /// Writes that were taken and not yet made, oldest first.
+    /// Commits accepted but not yet applied, oldest first.
     delayed: Vec<Txn>,
     reads: u64,
     commits: u64,
@@ -36,45 +36,46 @@
 
 #[derive(Debug, Default)]
 struct Faults {
-    down: bool,
+    unavailable: bool,
     lose_responses: u32,
     delay_commits: u32,
 }
 
 impl MemoryTable {
-    /// An empty table.
+    /// Creates an empty table.
     pub fn new() -> MemoryTable {
         MemoryTable::default()
     }
 
-    /// Refuses every call without effect while `down`.
-    pub fn set_unavailable(&self, down: bool) {
-        self.lock().faults.down = down;
+    /// While `unavailable`, every call fails without effect.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.lock().faults.unavailable = unavailable;
     }
 
-    /// Makes the writes of the next `count` commits and loses their answers.
+    /// Applies the next `count` commits but drops their responses.
     pub fn lose_responses(&self, count: u32) {
         self.lock().faults.lose_responses = count;
     }
 
-    /// Parks the next `count` commits until released; their callers get no answer.
+    /// Delays the next `count` commits until [`MemoryTable::apply_delayed`]; their callers
+    /// get [`TableError::Unknown`].
     pub fn delay_commits(&self, count: u32) {
         self.lock().faults.delay_commits = count;
     }
 
-    /// Applies the parked commits in the order in which they came.
+    /// Applies the delayed commits in order of arrival.
     pub fn apply_delayed(&self) -> Vec<TxnOutcome> {
         let mut inner = self.lock();
         let delayed = std::mem::take(&mut inner.delayed);
         delayed.iter().map(|txn| inner.apply(txn)).collect()
     }
 
-    /// How many commits are delayed.
+    /// Number of delayed commits.
     pub fn delayed(&self) -> usize {
         self.lock().delayed.len()
     }
 
-    /// Reads and commits asked for so far, refused ones included.
+    /// Number of read and commit calls so far, including failed ones.
     pub fn calls(&self) -> (u64, u64) {
         let inner = self.lock();
         (inner.reads, inner.commits)
@@ -116,7 +117,7 @@
         }
         let outcome = inner.apply(txn);
         if decrement(&mut inner.faults.lose_responses) {
-            return Err(TableError::Unknown("answer lost".to_owned()));
+            return Err(TableError::Unknown("response lost".to_owned()));
         }
         Ok(outcome)
     }
@@ -124,7 +125,7 @@
 
 impl Inner {
     fn check_available(&self) -> Result<(), TableError> {
-        if self.faults.down {
+        if self.faults.unavailable {
             return Err(TableError::Unavailable("down".to_owned()));
         }
         Ok(())
@@ -169,20 +170,21 @@
     }
 }
 
+/// Decrements `count` unless it is zero; returns whether it did.
 fn decrement(count: &mut u32) -> bool {
-    let any = *count > 0;
+    let positive = *count > 0;
     *count = count.saturating_sub(1);
-    any
+    positive
 }
 
-/// An object store in memory.
+/// An in-memory object store.
 #[derive(Debug, Default)]
 pub struct MemoryObjects {
     objects: Mutex<BTreeMap<SmolStr, Vec<u8>>>,
 }
 
 impl MemoryObjects {
-    /// An empty store.
+    /// Creates an empty store.
     pub fn new() -> MemoryObjects {
         MemoryObjects::default()
     }
--- a/crates/stores/src/objects.rs
+++ b/crates/stores/src/objects.rs
@@ -1,21 +1,22 @@
-//! The platform's object store.
+//! The platform's object store and its HTTP client.
 
 use oxhttp::model::StatusCode;
 
 use crate::{CallError, HttpCaller, percent_encode};
 
-/// A store of values too large for rows. A put under the same key is idempotent.
+/// A key-value store for values too large for table rows. Repeating a put is idempotent.
 pub trait ObjectStore: Send + Sync + 'static {
-    /// Reads an object; `None` when there is none.
+    /// Reads an object; `None` when it doesn't exist.
     ///
     /// # Errors
-    /// When the store can't be reached or refuses.
+    /// When the store can't be reached or returns an error.
     fn get(&self, key: &str) -> Result<Option<Vec<u8>>, ObjectError>;
 
-    /// Stores an object, over an earlier one of that key.
+    /// Stores an object, replacing any object with the same key.
     ///
     /// # Errors
-    /// When the store can't be reached or refuses; the object may be there all the same.
+    /// When the store can't be reached or returns an error; the object may be stored
+    /// nevertheless.
     fn put(&self, key: &str, bytes: Vec<u8>) -> Result<(), ObjectError>;
 }
 
@@ -24,14 +25,14 @@
 #[error("object store unavailable: {0}")]
 pub struct ObjectError(#[from] pub CallError);
 
-/// Client of the platform's object store.
+/// HTTP client of the platform's object store.
 #[derive(Debug)]
 pub struct HttpObjectStore {
     caller: HttpCaller,
 }
 
 impl HttpObjectStore {
-    /// A client that calls as `caller` is set up to.
+    /// Creates a client that sends its requests through `caller`.
     pub fn new(caller: HttpCaller) -> HttpObjectStore {
         HttpObjectStore { caller }
     }
@@ -39,7 +40,7 @@
 
 impl ObjectStore for HttpObjectStore {
     fn get(&self, key: &str) -> Result<Option<Vec<u8>>, ObjectError> {
-        let reply = self.caller.get(&path(key))?;
+        let reply = self.caller.get(&object_path(key))?;
         match reply.status {
             StatusCode::OK => Ok(Some(reply.body)),
             StatusCode::NOT_FOUND => Ok(None),
@@ -48,7 +49,7 @@
     }
 
     fn put(&self, key: &str, bytes: Vec<u8>) -> Result<(), ObjectError> {
-        let reply = self.caller.put(&path(key), bytes)?;
+        let reply = self.caller.put(&object_path(key), bytes)?;
         if reply.status.is_success() {
             return Ok(());
         }
@@ -56,6 +57,6 @@
     }
 }
 
-fn path(key: &str) -> String {
+fn object_path(key: &str) -> String {
     format!("/objects/{}", percent_encode(key))
 }
--- a/crates/stores/src/percent.rs
+++ b/crates/stores/src/percent.rs
@@ -1,6 +1,6 @@
-//! Percent-encoding of keys in paths and queries (RFC 3986).
+//! Percent-encoding of keys in URL paths and queries (RFC 3986).
 
-/// Encodes all but the unreserved characters of `text`.
+/// Encodes every byte of `text` that isn't an unreserved character.
 pub fn percent_encode(text: &str) -> String {
     let mut out = String::with_capacity(text.len());
     for byte in text.bytes() {
@@ -13,7 +13,7 @@
     out
 }
 
-/// Decodes what [`percent_encode`] gave; `None` for a broken escape or text that isn't UTF-8.
+/// Decodes the output of [`percent_encode`]; `None` for an invalid escape or invalid UTF-8.
 pub fn percent_decode(text: &str) -> Option<String> {
     let mut out = Vec::with_capacity(text.len());
     let mut bytes = text.bytes();
--- a/crates/stores/src/retry.rs
+++ b/crates/stores/src/retry.rs
@@ -1,4 +1,4 @@
-//! Finds out what became of a transaction whose answer was lost.
+//! Retries a commit whose response was lost and determines its outcome.
 
 use std::time::{Duration, Instant};
 
@@ -8,22 +8,22 @@
 use crate::{Condition, Row, Table, TableError, Txn, TxnOutcome};
 
 value! {
-    /// What became of a transaction.
+    /// The outcome of a transaction after retries.
     pub enum CommitStatus {
-        /// Its writes were made, exactly once.
+        /// The writes were applied exactly once.
         Committed,
-        /// Its writes were not made and will not be. The rows whose condition
-        /// failed; none when the service was never reached.
+        /// The writes were not applied and never will be. Holds the rows whose condition
+        /// failed; empty when the service was never reached.
         NotCommitted(Vec<Row>),
-        /// Nobody can tell: its writes may have been made, or may be made later.
+        /// The writes may have been applied, or may be applied later.
         Unknown,
     }
 
-    /// How long to try.
+    /// Limits on the time and number of attempts.
     pub struct RetryLimits {
         /// Time after which no new attempt starts.
         pub total: Duration,
-        /// Attempts at most.
+        /// Maximum number of attempts.
         pub attempts: u32,
         /// Pause between two attempts.
         pub pause: Duration,
@@ -40,46 +40,47 @@
     }
 }
 
-/// Why a transaction can't be settled, and so was not sent.
+/// Why a transaction can't be retried safely and was not sent.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RetryError {
-    /// A row is written without a condition on it, so that a late copy of the
+    /// A row is written without a condition on it, so a delayed copy of the
     /// transaction could write it a second time.
     #[error("transaction {txn} writes row {key} without a condition on it")]
     Unconditional {
-        /// The transaction.
+        /// Id of the transaction.
         txn: SmolStr,
-        /// The row.
+        /// Key of the row.
         key: SmolStr,
     },
 }
 
-/// Commits `txn` and, when the answer is lost, finds out what became of it.
+/// Commits `txn`, retrying when a call fails, and determines its outcome when a
+/// response was lost.
 ///
-/// A write without an answer may take effect later, so reading the old value
-/// proves nothing. Sending the same transaction again does: whichever copy
-/// comes second fails, because every written row has a condition and versions
-/// only rise. A row created under condition 0 is the exception: once it is
-/// deleted, a copy still under way could create it again. Whoever deletes such
-/// rows waits longer than a write can be under way, or adds a condition on a
-/// row that is never deleted.
+/// A write without a response may take effect later, so reading the old value
+/// doesn't show that it failed. Sending the same transaction again does:
+/// whichever copy arrives second fails, because every written row has a
+/// condition and versions only increase. A row created under condition 0 is the
+/// exception: once it is deleted, a copy still in flight could create it again.
+/// A caller that deletes such rows must wait longer than a write can be in
+/// flight, or add a condition on a row that is never deleted.
 ///
-/// Blocks for up to `budget.total` and one call.
+/// Blocks for up to `limits.total` plus the duration of one call.
 ///
 /// # Errors
-/// When a written row has no condition; nothing is sent then.
+/// When a written row has no condition; nothing is sent.
 pub fn commit_with_retry(
     table: &impl Table,
     txn: &Txn,
-    budget: &RetryLimits,
+    limits: &RetryLimits,
 ) -> Result<CommitStatus, RetryError> {
-    let bases = bases(txn)?;
+    let expected_versions = expected_versions(txn)?;
     let start = Instant::now();
     let mut in_doubt = false;
-    for attempt in 0..budget.attempts {
+    for attempt in 0..limits.attempts {
         if attempt > 0 {
-            std::thread::sleep(budget.pause);
-            if start.elapsed() >= budget.total {
+            std::thread::sleep(limits.pause);
+            if start.elapsed() >= limits.total {
                 break;
             }
         }
@@ -88,7 +89,9 @@
             Ok(TxnOutcome::Conflict(rows)) if !in_doubt => {
                 return Ok(CommitStatus::NotCommitted(rows));
             }
-            Ok(TxnOutcome::Conflict(rows)) => return Ok(judge(table, txn, &bases, rows)),
+            Ok(TxnOutcome::Conflict(rows)) => {
+                return Ok(resolve_conflict(table, txn, &expected_versions, rows));
+            }
             Err(TableError::Unavailable(_)) => {}
             Err(TableError::Unknown(_) | TableError::Protocol(_)) => in_doubt = true,
         }
@@ -100,22 +103,22 @@
     }
 }
 
-/// A written row and the version that the transaction demands of it.
-struct Base<'a> {
+/// A written row and the version that the transaction requires of it.
+struct ExpectedVersion<'a> {
     key: &'a SmolStr,
     version: RowVersion,
 }
 
-fn bases(txn: &Txn) -> Result<Vec<Base<'_>>, RetryError> {
+fn expected_versions(txn: &Txn) -> Result<Vec<ExpectedVersion<'_>>, RetryError> {
     txn.writes
         .iter()
-        .map(|write| base(txn, &write.key))
+        .map(|write| expected_version(txn, &write.key))
         .collect()
 }
 
-fn base<'a>(txn: &Txn, key: &'a SmolStr) -> Result<Base<'a>, RetryError> {
+fn expected_version<'a>(txn: &Txn, key: &'a SmolStr) -> Result<ExpectedVersion<'a>, RetryError> {
     match txn.conditions.iter().find(|c| c.key == *key) {
-        Some(condition) => Ok(Base {
+        Some(condition) => Ok(ExpectedVersion {
             key,
             version: condition.version,
         }),
@@ -126,37 +129,55 @@
     }
 }
 
-/// Judges a retry that conflicted after an attempt without an answer.
-fn judge(table: &impl Table, txn: &Txn, bases: &[Base<'_>], rows: Vec<Row>) -> CommitStatus {
-    let written = |row: &&Row| bases.iter().any(|base| *base.key == row.key);
+/// Determines the outcome when a retry conflicts after an attempt without a response.
+fn resolve_conflict(
+    table: &impl Table,
+    txn: &Txn,
+    expected_versions: &[ExpectedVersion<'_>],
+    rows: Vec<Row>,
+) -> CommitStatus {
+    let written = |row: &&Row| {
+        expected_versions
+            .iter()
+            .any(|expected| *expected.key == row.key)
+    };
     if rows.iter().filter(written).any(|row| row.txn == txn.id) {
         return CommitStatus::Committed;
     }
-    let refuted = bases.iter().any(|base| {
-        let row = rows.iter().find(|row| row.key == *base.key);
-        // The version right after ours is another's: ours never was there.
-        row.is_some_and(|row| row.version == base.version + 1)
+    let superseded = expected_versions.iter().any(|expected| {
+        let row = rows.iter().find(|row| row.key == *expected.key);
+        // Another transaction wrote the next version, so ours was never applied.
+        row.is_some_and(|row| row.version == expected.version + 1)
     });
-    if refuted || (never_again(&txn.conditions, &rows) && untouched(table, bases, &rows)) {
+    if superseded
+        || (cannot_apply(&txn.conditions, &rows)
+            && has_unwritten_row(table, expected_versions, &rows))
+    {
         return CommitStatus::NotCommitted(rows);
     }
     CommitStatus::Unknown
 }
 
-/// Whether a condition failed that can't come to hold again.
-fn never_again(conditions: &[Condition], rows: &[Row]) -> bool {
-    let passed = |c: &Condition| rows.iter().any(|r| r.key == c.key && r.version > c.version);
-    conditions.iter().any(|c| c.version > 0 && passed(c))
+/// Whether a condition failed that can never hold again, so that no copy can be applied.
+fn cannot_apply(conditions: &[Condition], rows: &[Row]) -> bool {
+    let exceeded = |c: &Condition| rows.iter().any(|r| r.key == c.key && r.version > c.version);
+    conditions.iter().any(|c| c.version > 0 && exceeded(c))
 }
 
-/// Whether a written row still has the version from before, with all copies now void.
-fn untouched(table: &impl Table, bases: &[Base<'_>], rows: &[Row]) -> bool {
-    let in_conflict = |base: &Base<'_>| rows.iter().any(|row| row.key == *base.key);
-    let mut candidates = bases
+/// Whether a written row still has its expected version, given that no copy can be
+/// applied any more.
+fn has_unwritten_row(
+    table: &impl Table,
+    expected_versions: &[ExpectedVersion<'_>],
+    rows: &[Row],
+) -> bool {
+    let in_conflict =
+        |expected: &ExpectedVersion<'_>| rows.iter().any(|row| row.key == *expected.key);
+    let mut candidates = expected_versions
         .iter()
-        .filter(|base| base.version > 0 && !in_conflict(base));
-    candidates.any(|base| {
-        let row = table.get(base.key).ok().flatten();
-        row.is_some_and(|row| row.version == base.version)
+        .filter(|expected| expected.version > 0 && !in_conflict(expected));
+    candidates.any(|expected| {
+        let row = table.get(expected.key).ok().flatten();
+        row.is_some_and(|row| row.version == expected.version)
     })
 }
--- a/crates/stores/src/table.rs
+++ b/crates/stores/src/table.rs
@@ -1,29 +1,29 @@
-//! The table service as the rest of the system sees it.
+//! The interface of the table service: rows, transactions and errors.
 
 use std::sync::Arc;
 
 use eelgrassmill_base::{RowVersion, TxnId, value};
 use smol_str::SmolStr;
 
-/// A transactional table of small rows, which may be slow, down, or lose its answers.
+/// A transactional table of small rows. Calls may be slow, fail, or lose their responses.
 pub trait Table: Send + Sync + 'static {
     /// Reads one row; `None` when it is absent.
     ///
     /// # Errors
-    /// When the service can't be reached or refuses.
+    /// When the service can't be reached or returns an error.
     fn get(&self, key: &str) -> Result<Option<Row>, TableError>;
 
-    /// Reads all rows whose key starts with `prefix`, in key order, at one point in time.
+    /// Reads a consistent snapshot of all rows whose key starts with `prefix`, in key order.
     ///
     /// # Errors
-    /// When the service can't be reached or refuses.
+    /// When the service can't be reached or returns an error.
     fn scan(&self, prefix: &str) -> Result<Vec<Row>, TableError>;
 
-    /// Makes all writes of `txn`, or none when one of its conditions fails.
+    /// Applies all writes of `txn` atomically, or none when one of its conditions fails.
     ///
     /// # Errors
-    /// [`TableError::Unknown`] means that the writes may have been made, or
-    /// may still be made later; see the settling helper of this crate.
+    /// [`TableError::Unknown`] means that the writes may have been applied, or may
+    /// still be applied later; see [`commit_with_retry`](crate::commit_with_retry).
     fn commit(&self, txn: &Txn) -> Result<TxnOutcome, TableError>;
 }
 
@@ -42,63 +42,63 @@
 }
 
 value! { wire
-    /// One row.
+    /// A row and the transaction that last wrote it.
     pub struct Row {
-        /// Its key.
+        /// Key of the row.
         pub key: SmolStr,
-        /// Rises by one with every write of this row, also over deletions.
+        /// Increases by one with every write of this row, including deletions.
         pub version: RowVersion,
         /// Id of the transaction that wrote it.
         pub txn: TxnId,
-        /// What it holds; JSON by convention of the callers.
+        /// Contents; JSON by convention of the callers.
         pub value: String,
     }
 
-    /// What a row must be for a transaction to happen.
+    /// A row version that a transaction requires.
     pub struct Condition {
-        /// The row.
+        /// Key of the row.
         pub key: SmolStr,
-        /// The version it must have; 0 for absent.
+        /// The required version; 0 requires that the row is absent.
         pub version: RowVersion,
     }
 
-    /// One write of a transaction.
+    /// A put or delete of one row.
     pub struct Write {
-        /// The row.
+        /// Key of the row.
         pub key: SmolStr,
-        /// Its new value; `None` deletes the row.
+        /// New value; `None` deletes the row.
         pub value: Option<String>,
     }
 
-    /// A set of row conditions and writes.
+    /// A transaction: writes that are applied together if all conditions hold.
     pub struct Txn {
-        /// Chosen by the writer, unique over all time.
+        /// Chosen by the writer and never reused.
         pub id: TxnId,
-        /// All must hold.
+        /// Conditions that must all hold.
         pub conditions: Vec<Condition>,
-        /// All are made, or none.
+        /// Writes, applied atomically.
         pub writes: Vec<Write>,
     }
 
-    /// What became of a transaction that was answered.
+    /// The outcome of a transaction as returned by the service.
     pub enum TxnOutcome {
-        /// All writes were made.
+        /// All writes were applied.
         Committed,
-        /// No write was made; these are the rows whose condition failed, absent ones left out.
+        /// No write was applied. Holds the rows whose condition failed, without absent ones.
         Conflict(Vec<Row>),
     }
 }
 
-/// Why a call to the table service gave no result.
+/// Why a call to the table service failed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum TableError {
-    /// The call certainly had no effect.
+    /// The call had no effect.
     #[error("table service unavailable: {0}")]
     Unavailable(String),
-    /// The call may have had an effect, or may have it later.
-    #[error("table service gave no answer: {0}")]
+    /// The call may have taken effect, or may take effect later.
+    #[error("outcome of the table service call is unknown: {0}")]
     Unknown(String),
-    /// The service answered with something that is not its protocol.
-    #[error("table service answered nonsense: {0}")]
+    /// The service returned a response that violates the protocol.
+    #[error("invalid response from the table service: {0}")]
     Protocol(String),
 }
--- a/crates/stores/src/weights.rs
+++ b/crates/stores/src/weights.rs
@@ -1,25 +1,25 @@
-//! The platform's weight store.
+//! The platform's weight store and its HTTP client.
 
 use eelgrassmill_base::value;
 use oxhttp::model::StatusCode;
 
 use crate::{CallError, HttpCaller, percent_encode};
 
-/// Knows the weights of model versions; reading them is rate-limited.
+/// Metadata of the weights of model versions. Reads of the weights are rate-limited.
 pub trait WeightStore: Send + Sync + 'static {
-    /// What the store holds of a model version; `None` when it doesn't know it.
+    /// Returns size and read rate of a model version; `None` when the store doesn't have it.
     ///
     /// # Errors
-    /// When the store can't be reached or refuses.
+    /// When the store can't be reached or returns an error.
     fn info(&self, model: &str, version: &str) -> Result<Option<WeightInfo>, WeightError>;
 }
 
 value! { wire copy
-    /// Size of the weights of one model version and how fast they can be read.
+    /// Size and read rate of the weights of one model version.
     pub struct WeightInfo {
         /// Size in bytes.
         pub bytes: u64,
-        /// Bytes per second that the store gives, shared by all who read at once.
+        /// Read rate of the store in bytes per second, shared by all concurrent readers.
         pub bytes_per_second: u64,
     }
 }
@@ -29,14 +29,14 @@
 #[error("weight store unavailable: {0}")]
 pub struct WeightError(#[from] pub CallError);
 
-/// Client of the platform's weight store.
+/// HTTP client of the platform's weight store.
 #[derive(Debug)]
 pub struct HttpWeightStore {
     caller: HttpCaller,
 }
 
 impl HttpWeightStore {
-    /// A client that calls as `caller` is set up to.
+    /// Creates a client that sends its requests through `caller`.
     pub fn new(caller: HttpCaller) -> HttpWeightStore {
         HttpWeightStore { caller }
     }
