--- a/crates/stores/tests/memory.rs
+++ b/crates/stores/tests/memory.rs
@@ -1,4 +1,4 @@
-//! The semantics of the table in memory, which the stand-in serves.
+//! Tests of the in-memory table, which the stand-in platform serves, and of percent-encoding.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-fn write(id: String, key: &str, version: u64, value: Option<String>) -> Txn {
+fn write_txn(id: String, key: &str, version: u64, value: Option<String>) -> Txn {
     Txn {
         id: id.into(),
         conditions: vec![Condition {
@@ -25,21 +25,21 @@
 }
 
 #[gtest]
-fn a_refused_call_has_no_effect() {
+fn an_unavailable_call_has_no_effect() {
     let table = MemoryTable::new();
     table.set_unavailable(true);
-    let answer = table.commit(&write("a".into(), "k", 0, Some("v".into())));
-    assert_that!(answer, err(pat!(TableError::Unavailable(anything()))));
+    let result = table.commit(&write_txn("a".into(), "k", 0, Some("v".into())));
+    assert_that!(result, err(pat!(TableError::Unavailable(anything()))));
     table.set_unavailable(false);
     expect_that!(table.get("k"), ok(none()));
 }
 
 #[gtest]
-fn a_scan_sees_its_prefix_alone_in_key_order() {
+fn a_scan_returns_only_its_prefix_in_key_order() {
     let table = MemoryTable::new();
     for key in ["b/1", "a/2", "a/1", "a", "c"] {
         table
-            .commit(&write(key.into(), key, 0, Some(key.into())))
+            .commit(&write_txn(key.into(), key, 0, Some(key.into())))
             .unwrap();
     }
     let keys: Vec<_> = table
@@ -52,12 +52,12 @@
 }
 
 #[gtest]
-fn one_failed_condition_stops_every_write() {
+fn one_failed_condition_prevents_every_write() {
     let table = MemoryTable::new();
     table
-        .commit(&write("a".into(), "k", 0, Some("v".into())))
+        .commit(&write_txn("a".into(), "k", 0, Some("v".into())))
         .unwrap();
-    let mut txn = write("b".into(), "new", 0, Some("v".into()));
+    let mut txn = write_txn("b".into(), "new", 0, Some("v".into()));
     txn.conditions.push(Condition {
         key: "k".into(),
         version: 7,
@@ -75,10 +75,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// A row's version never repeats, whatever is deleted and created again;
-    /// otherwise a late copy of an old transaction could meet its condition.
+    /// A row's version never repeats across deletion and re-creation; otherwise the
+    /// condition of a delayed copy of an old transaction could hold again.
     #[test]
-    fn versions_rise_by_one_over_deletions(
+    fn versions_increase_by_one_across_deletions(
         ops in prop::collection::vec((0usize..3, any::<bool>()), 1..40),
     ) {
         let table = MemoryTable::new();
@@ -87,7 +87,7 @@
             let name = format!("k{key}");
             let seen = table.get(&name).unwrap().map_or(0, |row| row.version);
             let value = (!delete).then(|| i.to_string());
-            let outcome = table.commit(&write(i.to_string(), &name, seen, value)).unwrap();
+            let outcome = table.commit(&write_txn(i.to_string(), &name, seen, value)).unwrap();
             prop_assert_eq!(outcome, TxnOutcome::Committed);
             *writes.entry(key).or_default() += 1;
             if !delete {
@@ -97,7 +97,7 @@
     }
 
     #[test]
-    fn percent_encoding_returns_what_it_was_given(text in ".*") {
+    fn percent_encoding_round_trips(text in ".*") {
         let encoded = percent_encode(&text);
         prop_assert!(encoded.is_ascii());
         prop_assert_eq!(percent_decode(&encoded), Some(text));
--- a/crates/stores/tests/retry.rs
+++ b/crates/stores/tests/retry.rs
@@ -1,4 +1,4 @@
-//! What a writer learns of a transaction whose answer was lost.
+//! Tests of `commit_with_retry` when responses are lost or commits are delayed.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
     }
 }
 
-fn budget(attempts: u32) -> RetryLimits {
+fn limits(attempts: u32) -> RetryLimits {
     RetryLimits {
         total: Duration::from_secs(5),
         attempts,
@@ -30,35 +30,35 @@
     }
 }
 
-fn seeded() -> MemoryTable {
+fn table_with_row() -> MemoryTable {
     let table = MemoryTable::new();
     table
         .commit(&txn("seed", "row", 0))
-        .expect("an empty table takes it");
+        .expect("commit to an empty table");
     table
 }
 
 #[gtest]
-fn a_write_whose_answer_is_lost_counts_as_committed() {
-    // The service makes the write, and the answer is lost on its way. A writer
-    // that took this for a failure would write a second time.
-    let table = seeded();
+fn a_write_whose_response_is_lost_counts_as_committed() {
+    // The service applies the write but its response is lost. A writer that treats
+    // this as a failure would write a second time.
+    let table = table_with_row();
     table.lose_responses(1);
     expect_that!(
-        commit_with_retry(&table, &txn("a", "row", 1), &budget(3)),
+        commit_with_retry(&table, &txn("a", "row", 1), &limits(3)),
         ok(eq(&CommitStatus::Committed))
     );
     expect_that!(table.get("row").unwrap().unwrap().version, eq(2));
 }
 
 #[gtest]
-fn a_late_first_copy_does_not_write_twice() {
-    // The first copy waits within the service while the retry is made. When it
-    // is applied at last, the row would move on with nobody expecting it.
-    let table = seeded();
+fn a_delayed_first_copy_does_not_write_twice() {
+    // The first copy is delayed within the service until after the retry. Applying
+    // it would then change the row a second time.
+    let table = table_with_row();
     table.delay_commits(1);
     expect_that!(
-        commit_with_retry(&table, &txn("a", "row", 1), &budget(3)),
+        commit_with_retry(&table, &txn("a", "row", 1), &limits(3)),
         ok(eq(&CommitStatus::Committed))
     );
     expect_that!(table.delayed(), eq(1));
@@ -67,25 +67,25 @@
 }
 
 #[gtest]
-fn an_old_value_proves_nothing() {
-    // Every copy of the write is parked, and the row shows its old value. The
-    // writer must not conclude that it failed: it is applied in the end.
-    let table = seeded();
+fn an_old_value_does_not_show_a_failed_write() {
+    // Every copy of the write is delayed, so the row still has its old value. The
+    // writer must not conclude that the write failed, because it is applied later.
+    let table = table_with_row();
     table.delay_commits(3);
-    let settled = commit_with_retry(&table, &txn("a", "row", 1), &budget(3));
+    let status = commit_with_retry(&table, &txn("a", "row", 1), &limits(3));
     expect_that!(table.get("row").unwrap().unwrap().txn.as_str(), eq("seed"));
-    expect_that!(settled, ok(eq(&CommitStatus::Unknown)));
+    expect_that!(status, ok(eq(&CommitStatus::Unknown)));
     table.apply_delayed();
     expect_that!(table.get("row").unwrap().unwrap().txn.as_str(), eq("a"));
 }
 
-/// Parks the first commit and lets another writer in before the retry.
-struct Raced {
+/// Commits the transactions of other writers after each failed commit, before the retry.
+struct ConcurrentWrites {
     table: MemoryTable,
-    between: Vec<Txn>,
+    others: Vec<Txn>,
 }
 
-impl Table for Raced {
+impl Table for ConcurrentWrites {
     fn get(&self, key: &str) -> std::result::Result<Option<Row>, TableError> {
         self.table.get(key)
     }
@@ -95,85 +95,85 @@
     }
 
     fn commit(&self, txn: &Txn) -> std::result::Result<TxnOutcome, TableError> {
-        let answer = self.table.commit(txn);
-        if answer.is_err() {
-            for other in &self.between {
-                self.table.commit(other).expect("no fault is left");
+        let result = self.table.commit(txn);
+        if result.is_err() {
+            for other in &self.others {
+                self.table.commit(other).expect("commit of another writer");
             }
         }
-        answer
+        result
     }
 }
 
 #[gtest]
-fn another_writer_at_the_next_version_proves_that_ours_failed() {
-    let table = seeded();
+fn another_write_at_the_next_version_means_not_committed() {
+    let table = table_with_row();
     table.delay_commits(1);
-    let raced = Raced {
+    let contended = ConcurrentWrites {
         table,
-        between: vec![txn("other", "row", 1)],
+        others: vec![txn("other", "row", 1)],
     };
-    let settled = commit_with_retry(&raced, &txn("a", "row", 1), &budget(3)).unwrap();
-    assert_that!(settled, pat!(CommitStatus::NotCommitted(len(eq(1)))));
-    raced.table.apply_delayed();
+    let status = commit_with_retry(&contended, &txn("a", "row", 1), &limits(3)).unwrap();
+    assert_that!(status, pat!(CommitStatus::NotCommitted(len(eq(1)))));
+    contended.table.apply_delayed();
     expect_that!(
-        raced.table.get("row").unwrap().unwrap().txn.as_str(),
+        contended.table.get("row").unwrap().unwrap().txn.as_str(),
         eq("other")
     );
 }
 
 #[gtest]
-fn a_row_overwritten_twice_leaves_the_writer_in_doubt() {
-    // Ours may have been written and then overwritten by the next writer; the
-    // row no longer shows it. Saying "failed" would be a guess.
-    let table = seeded();
+fn a_row_overwritten_twice_leaves_the_outcome_unknown() {
+    // Our write may have been applied and then overwritten by the next writer, and the
+    // row no longer shows which.
+    let table = table_with_row();
     table.lose_responses(1);
-    let raced = Raced {
+    let contended = ConcurrentWrites {
         table,
-        between: vec![txn("other", "row", 2)],
+        others: vec![txn("other", "row", 2)],
     };
-    let settled = commit_with_retry(&raced, &txn("a", "row", 1), &budget(3));
-    expect_that!(settled, ok(eq(&CommitStatus::Unknown)));
+    let status = commit_with_retry(&contended, &txn("a", "row", 1), &limits(3));
+    expect_that!(status, ok(eq(&CommitStatus::Unknown)));
 }
 
 #[gtest]
-fn a_guard_that_moved_on_proves_that_ours_failed() {
-    // A planner loses its lease row while its write is under way. The row to be
-    // written still has its old version, and with the guard gone no copy of the
-    // write can apply any more.
-    let table = seeded();
-    table.commit(&txn("seed", "guard", 0)).unwrap();
+fn a_changed_lease_row_means_not_committed() {
+    // A planner loses its lease row while its write is in flight. The row to be
+    // written still has its old version, and since the condition on the lease row
+    // can't hold again, no copy of the write can be applied.
+    let table = table_with_row();
+    table.commit(&txn("seed", "lease", 0)).unwrap();
     table.delay_commits(1);
-    let raced = Raced {
+    let contended = ConcurrentWrites {
         table,
-        between: vec![txn("other", "guard", 1)],
+        others: vec![txn("other", "lease", 1)],
     };
-    let mut guarded = txn("a", "row", 1);
-    guarded.conditions.push(Condition {
-        key: "guard".into(),
+    let mut leased = txn("a", "row", 1);
+    leased.conditions.push(Condition {
+        key: "lease".into(),
         version: 1,
     });
-    let settled = commit_with_retry(&raced, &guarded, &budget(3)).unwrap();
-    assert_that!(settled, pat!(CommitStatus::NotCommitted(len(eq(1)))));
-    raced.table.apply_delayed();
-    expect_that!(raced.table.get("row").unwrap().unwrap().version, eq(1));
+    let status = commit_with_retry(&contended, &leased, &limits(3)).unwrap();
+    assert_that!(status, pat!(CommitStatus::NotCommitted(len(eq(1)))));
+    contended.table.apply_delayed();
+    expect_that!(contended.table.get("row").unwrap().unwrap().version, eq(1));
 }
 
 #[gtest]
-fn a_service_that_is_down_leaves_no_doubt() {
-    let table = seeded();
+fn an_unavailable_service_means_not_committed() {
+    let table = table_with_row();
     table.set_unavailable(true);
-    let settled = commit_with_retry(&table, &txn("a", "row", 1), &budget(2));
-    expect_that!(settled, ok(eq(&CommitStatus::NotCommitted(vec![]))));
+    let status = commit_with_retry(&table, &txn("a", "row", 1), &limits(2));
+    expect_that!(status, ok(eq(&CommitStatus::NotCommitted(vec![]))));
     expect_that!(table.calls().1, eq(3));
 }
 
 #[gtest]
-fn a_write_without_a_condition_is_refused_unsent() {
-    let table = seeded();
-    let mut bare = txn("a", "row", 1);
-    bare.conditions.clear();
-    let settled = commit_with_retry(&table, &bare, &budget(2));
-    assert_that!(settled, err(pat!(RetryError::Unconditional { .. })));
+fn a_write_without_a_condition_is_rejected_before_sending() {
+    let table = table_with_row();
+    let mut unconditional = txn("a", "row", 1);
+    unconditional.conditions.clear();
+    let status = commit_with_retry(&table, &unconditional, &limits(2));
+    assert_that!(status, err(pat!(RetryError::Unconditional { .. })));
     expect_that!(table.calls().1, eq(1));
 }
--- a/crates/stores/tests/unavailable.rs
+++ b/crates/stores/tests/unavailable.rs
@@ -1,4 +1,4 @@
-//! What a read makes of a table service that refuses.
+//! Tests of reads when the table service returns 503.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -7,32 +7,33 @@
 use eelgrassmill_stores::{HttpCaller, HttpTable, Table, TableError};
 use googletest::prelude::*;
 
-const REFUSAL: &[u8] =
+const UNAVAILABLE_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\ncontent-length: 4\r\nconnection: close\r\n\r\ndown";
 
-/// Answers so many calls with a refusal.
-fn refusing(calls: usize) -> (SocketAddr, JoinHandle<()>) {
+/// Starts a server that responds to `calls` requests with 503.
+fn unavailable_server(calls: usize) -> (SocketAddr, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("its address");
-    let serving = std::thread::spawn(move || {
+    let address = listener.local_addr().expect("local address");
+    let server = std::thread::spawn(move || {
         for _ in 0..calls {
-            let (mut conn, _) = listener.accept().expect("a call");
+            let (mut conn, _) = listener.accept().expect("a connection");
             let mut buf = [0; 4096];
             let _ = conn.read(&mut buf).expect("a request");
-            conn.write_all(REFUSAL).expect("the answer goes out");
+            conn.write_all(UNAVAILABLE_RESPONSE)
+                .expect("write the response");
         }
     });
-    (address, serving)
+    (address, server)
 }
 
-/// The table's operators stop it for an upgrade, and it says so with 503. A
-/// reader that takes this for nonsense is counted as if a write might have been
-/// made, and the alarm sends the operator to the wrong place.
+/// The table service returns 503 while it is stopped for an upgrade. If a read reported
+/// this as a protocol error, metrics would count it as a call of unknown outcome and the
+/// alert would point the operator to the wrong cause.
 #[gtest]
-fn a_refused_read_is_unavailable() {
-    let (address, serving) = refusing(2);
+fn a_read_with_status_503_is_unavailable() {
+    let (address, server) = unavailable_server(2);
     let table = HttpTable::new(HttpCaller::builder(address.to_string()).build());
     expect_that!(table.get("row"), err(pat!(TableError::Unavailable(_))));
     expect_that!(table.scan("row/"), err(pat!(TableError::Unavailable(_))));
-    serving.join().expect("both were asked");
+    server.join().expect("two requests served");
 }
