--- a/crates/node/src/backend/mod.rs
+++ b/crates/node/src/backend/mod.rs
@@ -10,7 +10,7 @@
 use eelgrassmill_config::{CURRENT_KEY, CurrentRow, LOG_PREFIX, LogRow, Submit, log_key};
 use eelgrassmill_peer::PeerNode;
 use eelgrassmill_stores::{Table, TableError};
-use eelgrassmill_timeline::{Answer, Query, Timeline, merge};
+use eelgrassmill_timeline::{NodeEvents, Query, Timeline, merge};
 use smol_str::SmolStr;
 use tokio::runtime::Handle;
 
@@ -50,7 +50,7 @@
     }
 
     /// Asks all nodes at once; gives who was asked and the answers that came.
-    fn ask_all(&self, query: &Query) -> (Vec<NodeId>, Vec<Answer>) {
+    fn ask_all(&self, query: &Query) -> (Vec<NodeId>, Vec<NodeEvents>) {
         let nodes: Vec<NodeId> = {
             let directory = lock(&self.core.directory);
             directory.entries().map(|(node, _)| node.clone()).collect()
@@ -70,7 +70,7 @@
         for task in asking {
             // A node that doesn't answer is named by the merge.
             if let Ok(Ok(bytes)) = self.runtime.block_on(task) {
-                answers.extend(serde_json::from_slice::<Answer>(&bytes).ok());
+                answers.extend(serde_json::from_slice::<NodeEvents>(&bytes).ok());
             }
         }
         (nodes, answers)
--- a/crates/node/src/state/journal.rs
+++ b/crates/node/src/state/journal.rs
@@ -3,7 +3,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use eelgrassmill_base::{Incarnation, NodeId};
-use eelgrassmill_timeline::{Answer, Bounds, EventClass, EventKind, EventLog, Hlc, Query};
+use eelgrassmill_timeline::{Bounds, EventClass, EventKind, EventLog, Hlc, NodeEvents, Query};
 
 /// Milliseconds since 1970 by this machine's wall clock.
 ///
@@ -47,7 +47,7 @@
         let _ = self.log.observe(remote, wall_ms());
     }
 
-    pub(crate) fn query(&self, query: &Query) -> Answer {
+    pub(crate) fn query(&self, query: &Query) -> NodeEvents {
         self.log.query(query)
     }
 }
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -8,7 +8,7 @@
 use crate::event::{Event, EventClass, EventKind};
 use crate::fields;
 use crate::hlc::{DriftError, Hlc, HlcClock};
-use crate::query::{Answer, Query};
+use crate::query::{NodeEvents, Query};
 
 value! { copy
     /// How much one ring keeps.
@@ -113,7 +113,7 @@
     }
 
     /// The events that `query` asks for, in order, the last ones when there are too many.
-    pub fn query(&self, query: &Query) -> Answer {
+    pub fn query(&self, query: &Query) -> NodeEvents {
         let limit = query.limit();
         let mut events = Vec::new();
         let mut dropped = 0;
@@ -131,7 +131,7 @@
         events.sort_by_key(|e| e.hlc);
         let surplus = events.len().saturating_sub(limit);
         events.drain(..surplus);
-        Answer {
+        NodeEvents {
             node: self.node.clone(),
             events,
             dropped,
--- a/crates/timeline/src/query.rs
+++ b/crates/timeline/src/query.rs
@@ -31,7 +31,7 @@
     }
 
     /// One node's answer.
-    pub struct Answer {
+    pub struct NodeEvents {
         /// The node.
         pub node: NodeId,
         /// Its events, in order.
@@ -92,7 +92,7 @@
 /// the same stamp have no causal order and come in that of the nodes' names.
 pub fn merge(
     asked: impl IntoIterator<Item = NodeId>,
-    answers: impl IntoIterator<Item = Answer>,
+    answers: impl IntoIterator<Item = NodeEvents>,
     limit: usize,
 ) -> Timeline {
     let mut silent: Vec<NodeId> = asked.into_iter().collect();
