--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -186,7 +186,7 @@
     }
 
     fn timeline(&self, query: &Query) -> Timeline {
-        let log = EventLog::new("node-a", 1, eelgrassmill_timeline::Bounds::default());
+        let log = EventLog::new("node-a", 1, eelgrassmill_timeline::LogCapacity::default());
         log.record(
             EventKind::GroupWhole {
                 group: "chat/0".into(),
--- a/crates/node/src/state/journal.rs
+++ b/crates/node/src/state/journal.rs
@@ -3,7 +3,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 use eelgrassmill_base::{Incarnation, NodeId};
-use eelgrassmill_timeline::{Bounds, EventClass, EventKind, EventLog, Hlc, NodeEvents, Query};
+use eelgrassmill_timeline::{EventClass, EventKind, EventLog, Hlc, LogCapacity, NodeEvents, Query};
 
 /// Milliseconds since 1970 by this machine's wall clock.
 ///
@@ -22,7 +22,7 @@
 impl Journal {
     pub(crate) fn new(node: NodeId, incarnation: Incarnation) -> Journal {
         Journal {
-            log: EventLog::new(node, incarnation, Bounds::default()),
+            log: EventLog::new(node, incarnation, LogCapacity::default()),
         }
     }
 
--- a/crates/peer/examples/capacity/policy.rs
+++ b/crates/peer/examples/capacity/policy.rs
@@ -14,7 +14,7 @@
     AdmissionRequest, Candidate, EntryView, GroupPicker, LoadLevel, QueueOptions, QuotaDemand,
     QuotaIssuer, ServiceQueue, SlotKind, Slots, choose_addresses,
 };
-use eelgrassmill_timeline::{Bounds, EventKind, EventLog};
+use eelgrassmill_timeline::{EventKind, EventLog, LogCapacity};
 use smol_str::{SmolStr, format_smolstr};
 
 use crate::heap::{heap_bytes, seconds};
@@ -349,7 +349,7 @@
 
 fn events(inputs: &mut Inputs) {
     let log = |count: usize| {
-        let log = EventLog::new("node-123", 1, Bounds::default());
+        let log = EventLog::new("node-123", 1, LogCapacity::default());
         for i in 0..count {
             log.record(event(i), i as u64);
         }
--- a/crates/timeline/examples/footprint.rs
+++ b/crates/timeline/examples/footprint.rs
@@ -5,7 +5,7 @@
 use std::hint::black_box;
 use std::time::{Duration, Instant};
 
-use eelgrassmill_timeline::{Bounds, EventKind, EventLog, Query};
+use eelgrassmill_timeline::{EventKind, EventLog, LogCapacity, Query};
 
 const ROUNDS: u32 = 10;
 
@@ -18,7 +18,7 @@
 
 fn measure(requests: u64) {
     let before = resident();
-    let log = EventLog::new("node-a", 1, Bounds::default());
+    let log = EventLog::new("node-a", 1, LogCapacity::default());
     let start = Instant::now();
     let mut recorded = 0;
     for i in 0..requests {
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub use crate::event::{Event, EventClass, EventKind};
 pub use crate::hlc::{DriftError, Hlc, HlcClock, MAX_DRIFT};
-pub use crate::log::{Bound, Bounds, EventLog};
+pub use crate::log::{EventLog, LogCapacity, RingCapacity};
 pub use crate::query::{DEFAULT_LIMIT, MAX_LIMIT, NodeEvents, Query, Timeline, merge};
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -12,7 +12,7 @@
 
 value! { copy
     /// How much one ring keeps.
-    pub struct Bound {
+    pub struct RingCapacity {
         /// Events.
         pub events: usize,
         /// Bytes, names and reasons included.
@@ -20,23 +20,23 @@
     }
 
     /// How much a log keeps.
-    pub struct Bounds {
+    pub struct LogCapacity {
         /// Each ring of changes of state.
-        pub state: Bound,
+        pub state: RingCapacity,
         /// The ring of single requests.
-        pub requests: Bound,
+        pub requests: RingCapacity,
     }
 }
 
-impl Default for Bounds {
+impl Default for LogCapacity {
     /// Together at most 6 MB: under a fifth of the memory that control may use.
-    fn default() -> Bounds {
-        Bounds {
-            state: Bound {
+    fn default() -> LogCapacity {
+        LogCapacity {
+            state: RingCapacity {
                 events: 2_000,
                 bytes: 512 * 1024,
             },
-            requests: Bound {
+            requests: RingCapacity {
                 events: 10_000,
                 bytes: 4 * 1024 * 1024,
             },
@@ -56,7 +56,7 @@
 
 #[derive(Debug)]
 struct Ring {
-    bound: Bound,
+    bound: RingCapacity,
     /// In the order of their stamps.
     events: VecDeque<Event>,
     /// Sum of [`size_of_event`] over `events`.
@@ -67,7 +67,7 @@
 
 impl EventLog {
     /// An empty log of `node`.
-    pub fn new(node: impl Into<NodeId>, incarnation: Incarnation, bounds: Bounds) -> EventLog {
+    pub fn new(node: impl Into<NodeId>, incarnation: Incarnation, bounds: LogCapacity) -> EventLog {
         let rings = EventClass::ALL.map(|class| {
             let requests = class == EventClass::Request;
             Mutex::new(Ring::new(if requests {
@@ -123,7 +123,7 @@
                 .events
                 .iter()
                 .rev()
-                .filter(|e| query.wants(e))
+                .filter(|e| query.matches(e))
                 .take(limit);
             events.extend(wanted.cloned());
             dropped += ring.dropped;
@@ -162,7 +162,7 @@
 }
 
 impl Ring {
-    fn new(bound: Bound) -> Ring {
+    fn new(bound: RingCapacity) -> Ring {
         Ring {
             bound,
             events: VecDeque::new(),
--- a/crates/timeline/src/query.rs
+++ b/crates/timeline/src/query.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether `event` meets all conditions but the limit.
-    pub fn wants(&self, event: &Event) -> bool {
+    pub fn matches(&self, event: &Event) -> bool {
         if self.since_ms.is_some_and(|since| event.hlc.wall_ms < since) {
             return false;
         }
--- a/crates/timeline/tests/timeline.rs
+++ b/crates/timeline/tests/timeline.rs
@@ -2,7 +2,8 @@
 
 use eelgrassmill_base::{NodeId, OrderKind, Urgency};
 use eelgrassmill_timeline::{
-    Bound, Bounds, Event, EventKind, EventLog, Hlc, HlcClock, MAX_DRIFT, Query, Timeline, merge,
+    Event, EventKind, EventLog, Hlc, HlcClock, LogCapacity, MAX_DRIFT, Query, RingCapacity,
+    Timeline, merge,
 };
 use googletest::prelude::*;
 use proptest::prelude::*;
@@ -20,7 +21,7 @@
 }
 
 fn log(node: &str) -> EventLog {
-    EventLog::new(node, 1, Bounds::default())
+    EventLog::new(node, 1, LogCapacity::default())
 }
 
 fn whole(group: &str, epoch: u64) -> EventKind {
@@ -196,12 +197,12 @@
 /// afterwards must still find the break.
 #[gtest]
 fn many_requests_do_not_push_out_changes_of_state() {
-    let bounds = Bounds {
-        state: Bound {
+    let bounds = LogCapacity {
+        state: RingCapacity {
             events: 10,
             bytes: 10_000,
         },
-        requests: Bound {
+        requests: RingCapacity {
             events: 50,
             bytes: 100_000,
         },
@@ -219,7 +220,7 @@
 
 #[gtest]
 fn bytes_are_bounded_whatever_the_events_hold() {
-    let bound = Bound {
+    let bound = RingCapacity {
         events: 1_000,
         bytes: 8_000,
     };
@@ -228,7 +229,7 @@
         let log = EventLog::new(
             "node-a",
             1,
-            Bounds {
+            LogCapacity {
                 state: bound,
                 requests: bound,
             },
