--- a/crates/timeline/src/fields.rs
+++ b/crates/timeline/src/fields.rs
@@ -1,4 +1,4 @@
-//! The fields of an event by name, for filters, text and sizes.
+//! Named fields of events, for filtering, formatting and size accounting.
 
 use std::fmt;
 
@@ -7,7 +7,7 @@
 
 use crate::event::EventKind;
 
-/// The value of one field.
+/// Value of one field.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Field<'a> {
     Text(&'a str),
@@ -16,8 +16,8 @@
 }
 
 impl Field<'_> {
-    /// Whether the field is `name`, or a list with `name` in it.
-    pub(crate) fn is(&self, name: &str) -> bool {
+    /// Whether the field equals `name` or is a list that contains it.
+    pub(crate) fn matches(&self, name: &str) -> bool {
         match self {
             Field::Text(text) => *text == name,
             Field::Number(_) => false,
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Bytes that it holds beside the event's own size.
-    pub(crate) fn bytes(&self) -> usize {
+    /// Size in bytes in addition to `size_of::<Event>()`.
+    pub(crate) fn extra_bytes(&self) -> usize {
         match self {
             Field::Text(text) => text.len(),
             Field::Number(_) => 0,
@@ -46,16 +46,16 @@
     }
 }
 
-/// Reasons have spaces, and some come from outside: quoted, they can't pass for other fields or lines.
+/// Reasons contain spaces and may come from outside; quoting prevents injected fields and lines.
 fn needs_quotes(text: &str) -> bool {
-    let plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=';
-    text.is_empty() || !text.chars().all(plain)
+    let is_plain = |c: char| c.is_ascii_graphic() && c != '"' && c != '=';
+    text.is_empty() || !text.chars().all(is_plain)
 }
 
 /// Calls `f` with the name and value of each field of `kind`, in a fixed order.
 ///
-/// One walk serves the filters, the text and the size, so that a new event
-/// can't be found by one of them and missed by another.
+/// Filters, text format and size accounting all use this visitor, so that none of
+/// them can miss a new event kind that the others handle.
 pub(crate) fn visit(kind: &EventKind, f: &mut impl FnMut(&'static str, Field<'_>)) {
     match kind {
         EventKind::ConfigAccepted {
@@ -79,7 +79,7 @@
         EventKind::LeaseLost { reason } => f("reason", Field::Text(reason)),
         EventKind::PlannerTaken { region, from } => {
             f("region", Field::Text(region));
-            optional("from", from.as_ref(), f);
+            visit_optional("from", from.as_ref(), f);
         }
         EventKind::PlannerLost { region } => f("region", Field::Text(region)),
         EventKind::NodeJoined { peer } => f("peer", Field::Text(peer)),
@@ -155,7 +155,7 @@
         } => {
             f("group", Field::Text(group));
             f("epoch", Field::Number(*epoch));
-            optional("host", host.as_ref(), f);
+            visit_optional("host", host.as_ref(), f);
             f("reason", Field::Text(reason));
         }
         EventKind::GroupEnding {
@@ -198,7 +198,7 @@
             f("group", Field::Text(group));
             f("epoch", Field::Number(*epoch));
             f("fence", Field::Number(*fence));
-            f("order", Field::Text(order_name(*order)));
+            f("order", Field::Text(order_kind_name(*order)));
         }
         EventKind::OrderConfirmed { host, group, fence } => {
             f("host", Field::Text(host));
@@ -241,7 +241,7 @@
         } => {
             f("request", Field::Text(request));
             f("host", Field::Text(host));
-            optional("group", group.as_ref(), f);
+            visit_optional("group", group.as_ref(), f);
             f("attempt", Field::Number(u64::from(*attempt)));
         }
         EventKind::RequestRetried {
@@ -277,14 +277,14 @@
     }
 }
 
-fn order_name(order: OrderKind) -> &'static str {
+fn order_kind_name(order: OrderKind) -> &'static str {
     match order {
         OrderKind::Join => "join",
         OrderKind::Leave => "leave",
     }
 }
 
-fn optional(
+fn visit_optional(
     name: &'static str,
     value: Option<&SmolStr>,
     f: &mut impl FnMut(&'static str, Field<'_>),
--- a/crates/timeline/src/hlc.rs
+++ b/crates/timeline/src/hlc.rs
@@ -1,45 +1,45 @@
-//! A hybrid logical clock: causal order with readable times.
+//! Hybrid logical clock: causally ordered timestamps close to wall time.
 
 use std::time::Duration;
 
 use eelgrassmill_base::value;
 
 value! { wire copy
-    /// A point on the time line.
+    /// A hybrid logical timestamp.
     ///
-    /// Invariant: of two events of which one can have caused the other, the
-    /// cause has the lower stamp, whatever the nodes' wall clocks say.
+    /// Invariant: if one event can have caused another, its timestamp is lower,
+    /// regardless of skew between the nodes' wall clocks.
     #[derive(Default)]
     pub struct Hlc {
-        /// Milliseconds since 1970, UTC; never behind any stamp seen before.
+        /// Milliseconds since the Unix epoch; never lower than in any earlier timestamp.
         #[serde(rename = "wall_ms")]
         pub wall_ms: u64,
-        /// Tells apart stamps of one millisecond.
+        /// Orders timestamps within one millisecond.
         pub counter: u32,
     }
 }
 
-/// How far a stamp from another node may be ahead of the own wall clock.
+/// How far a remote timestamp may be ahead of the local wall clock.
 pub const MAX_DRIFT: Duration = Duration::from_secs(60);
 
-/// A stamp from another node is too far ahead to be believed.
+/// A remote timestamp is more than [`MAX_DRIFT`] ahead of the local wall clock.
 ///
-/// Taking it over would carry one broken wall clock to every node.
+/// Accepting it would spread the error of one broken wall clock to every node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("a clock is {ahead_ms} ms ahead of this node's")]
+#[error("remote clock is {ahead_ms} ms ahead of the local clock")]
 pub struct DriftError {
-    /// By how much, in milliseconds.
+    /// The difference, in milliseconds.
     pub ahead_ms: u64,
 }
 
-/// The clock of one node. Wall times are passed in, in milliseconds since 1970.
+/// The hybrid logical clock of one node. Wall times are passed in, in milliseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HlcClock {
     last: Hlc,
 }
 
 impl HlcClock {
-    /// The stamp of something that happens here now; higher than all before it.
+    /// Returns the timestamp of a local event, higher than all earlier ones.
     pub fn tick(&mut self, wall_ms: u64) -> Hlc {
         self.last = if wall_ms > self.last.wall_ms {
             Hlc {
@@ -47,15 +47,15 @@
                 counter: 0,
             }
         } else {
-            successor(self.last)
+            next_timestamp(self.last)
         };
         self.last
     }
 
-    /// Takes notice of a stamp that came with a message, and stamps its arrival.
+    /// Advances the clock past the timestamp of a received message and returns the time of receipt.
     ///
     /// # Errors
-    /// When it is more than [`MAX_DRIFT`] ahead of `wall_ms`; the clock stays.
+    /// If `remote` is more than [`MAX_DRIFT`] ahead of `wall_ms`; the clock is then unchanged.
     pub fn observe(&mut self, remote: Hlc, wall_ms: u64) -> Result<Hlc, DriftError> {
         let ahead_ms = remote.wall_ms.saturating_sub(wall_ms);
         if u128::from(ahead_ms) > MAX_DRIFT.as_millis() {
@@ -65,17 +65,20 @@
         Ok(self.tick(wall_ms))
     }
 
-    /// The last stamp given or seen, to be sent along with messages.
+    /// The highest timestamp issued or observed so far.
     pub fn last(&self) -> Hlc {
         self.last
     }
 }
 
-fn successor(stamp: Hlc) -> Hlc {
-    match stamp.counter.checked_add(1) {
-        Some(counter) => Hlc { counter, ..stamp },
+fn next_timestamp(timestamp: Hlc) -> Hlc {
+    match timestamp.counter.checked_add(1) {
+        Some(counter) => Hlc {
+            counter,
+            ..timestamp
+        },
         None => Hlc {
-            wall_ms: stamp.wall_ms.saturating_add(1),
+            wall_ms: timestamp.wall_ms.saturating_add(1),
             counter: 0,
         },
     }
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -1,6 +1,6 @@
-//! The time line: bounded event logs ordered by a hybrid logical clock, merged over all nodes.
+//! The timeline: bounded per-node event logs, ordered by a hybrid logical clock and merged.
 //!
-//! Pure but for the locks of [`EventLog`]: wall times are passed in.
+//! Does no I/O and reads no clock: callers pass in wall times. Only [`EventLog`] takes locks.
 
 mod event;
 mod fields;
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -1,4 +1,4 @@
-//! The events of one node, bounded by count and bytes.
+//! The event log of one node, bounded by event count and bytes.
 
 use std::collections::VecDeque;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -11,25 +11,25 @@
 use crate::query::{NodeEvents, Query};
 
 value! { copy
-    /// How much one ring keeps.
+    /// Capacity of one ring buffer.
     pub struct RingCapacity {
-        /// Events.
+        /// Maximum number of events.
         pub events: usize,
-        /// Bytes, names and reasons included.
+        /// Maximum size of all events in bytes, including their strings.
         pub bytes: usize,
     }
 
-    /// How much a log keeps.
+    /// Capacity of an event log.
     pub struct LogCapacity {
-        /// Each ring of changes of state.
+        /// Of each ring of state changes.
         pub state: RingCapacity,
-        /// The ring of single requests.
+        /// Of the ring of request events.
         pub requests: RingCapacity,
     }
 }
 
 impl Default for LogCapacity {
-    /// Together at most 6 MB: under a fifth of the memory that control may use.
+    /// At most 6 MB in total, less than a fifth of the control plane's memory budget.
     fn default() -> LogCapacity {
         LogCapacity {
             state: RingCapacity {
@@ -44,36 +44,40 @@
     }
 }
 
-/// The last events of one node, in rings by class, each under its own lock.
+/// The most recent events of one node, in one ring buffer per class, each with its own lock.
 #[derive(Debug)]
 pub struct EventLog {
     node: NodeId,
     incarnation: Incarnation,
     clock: Mutex<HlcClock>,
-    /// In the order of [`EventClass::ALL`].
+    /// Indexed in the order of [`EventClass::ALL`].
     rings: [Mutex<Ring>; EventClass::ALL.len()],
 }
 
 #[derive(Debug)]
 struct Ring {
-    bound: RingCapacity,
-    /// In the order of their stamps.
+    capacity: RingCapacity,
+    /// Ordered by timestamp.
     events: VecDeque<Event>,
-    /// Sum of [`size_of_event`] over `events`.
+    /// Sum of [`event_bytes`] over `events`.
     bytes: usize,
-    /// Events pushed out so far.
+    /// Number of events evicted so far.
     dropped: u64,
 }
 
 impl EventLog {
-    /// An empty log of `node`.
-    pub fn new(node: impl Into<NodeId>, incarnation: Incarnation, bounds: LogCapacity) -> EventLog {
+    /// Creates an empty log for `node`.
+    pub fn new(
+        node: impl Into<NodeId>,
+        incarnation: Incarnation,
+        capacity: LogCapacity,
+    ) -> EventLog {
         let rings = EventClass::ALL.map(|class| {
-            let requests = class == EventClass::Request;
-            Mutex::new(Ring::new(if requests {
-                bounds.requests
+            let is_request = class == EventClass::Request;
+            Mutex::new(Ring::new(if is_request {
+                capacity.requests
             } else {
-                bounds.state
+                capacity.state
             }))
         });
         EventLog {
@@ -84,10 +88,10 @@
         }
     }
 
-    /// Keeps an event that happened at `wall_ms`, and gives it back with its stamp.
+    /// Records an event that happened at `wall_ms` and returns it with its timestamp.
     pub fn record(&self, kind: EventKind, wall_ms: u64) -> Event {
         let mut ring = self.ring(kind.class());
-        // Stamped under the ring's lock, or a later stamp could enter first.
+        // Takes the timestamp under the ring's lock, otherwise a later one could be pushed first.
         let hlc = lock(&self.clock).tick(wall_ms);
         let event = Event {
             hlc,
@@ -99,38 +103,38 @@
         event
     }
 
-    /// Takes notice of the stamp that came with a peer's message.
+    /// Advances the clock past the timestamp of a peer's message and returns the time of receipt.
     ///
     /// # Errors
-    /// When the peer's clock is too far ahead to be believed.
+    /// If the peer's clock is more than [`MAX_DRIFT`](crate::MAX_DRIFT) ahead of `wall_ms`.
     pub fn observe(&self, remote: Hlc, wall_ms: u64) -> Result<Hlc, DriftError> {
         lock(&self.clock).observe(remote, wall_ms)
     }
 
-    /// The stamp to send along with a message.
+    /// Returns a new timestamp to send with a message.
     pub fn stamp(&self, wall_ms: u64) -> Hlc {
         lock(&self.clock).tick(wall_ms)
     }
 
-    /// The events that `query` asks for, in order, the last ones when there are too many.
+    /// Returns the events that match `query`, ordered by timestamp; beyond the limit, only the newest.
     pub fn query(&self, query: &Query) -> NodeEvents {
         let limit = query.limit();
         let mut events = Vec::new();
         let mut dropped = 0;
         for class in EventClass::ALL {
             let ring = self.ring(class);
-            let wanted = ring
+            let matching = ring
                 .events
                 .iter()
                 .rev()
                 .filter(|e| query.matches(e))
                 .take(limit);
-            events.extend(wanted.cloned());
+            events.extend(matching.cloned());
             dropped += ring.dropped;
         }
         events.sort_by_key(|e| e.hlc);
-        let surplus = events.len().saturating_sub(limit);
-        events.drain(..surplus);
+        let excess = events.len().saturating_sub(limit);
+        events.drain(..excess);
         NodeEvents {
             node: self.node.clone(),
             events,
@@ -138,12 +142,12 @@
         }
     }
 
-    /// Bytes of all events kept.
+    /// Total size of the retained events in bytes.
     pub fn bytes(&self) -> usize {
         EventClass::ALL.iter().map(|c| self.ring(*c).bytes).sum()
     }
 
-    /// Events kept.
+    /// Number of retained events.
     pub fn len(&self) -> usize {
         EventClass::ALL
             .iter()
@@ -151,7 +155,7 @@
             .sum()
     }
 
-    /// Whether no event is kept.
+    /// Whether the log holds no events.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
@@ -162,9 +166,9 @@
 }
 
 impl Ring {
-    fn new(bound: RingCapacity) -> Ring {
+    fn new(capacity: RingCapacity) -> Ring {
         Ring {
-            bound,
+            capacity,
             events: VecDeque::new(),
             bytes: 0,
             dropped: 0,
@@ -172,25 +176,25 @@
     }
 
     fn push(&mut self, event: Event) {
-        self.bytes += size_of_event(&event);
+        self.bytes += event_bytes(&event);
         self.events.push_back(event);
-        while self.events.len() > self.bound.events || self.bytes > self.bound.bytes {
-            let Some(old) = self.events.pop_front() else {
+        while self.events.len() > self.capacity.events || self.bytes > self.capacity.bytes {
+            let Some(oldest) = self.events.pop_front() else {
                 break;
             };
-            self.bytes -= size_of_event(&old);
+            self.bytes -= event_bytes(&oldest);
             self.dropped += 1;
         }
     }
 }
 
-fn size_of_event(event: &Event) -> usize {
+fn event_bytes(event: &Event) -> usize {
     let mut bytes = size_of::<Event>();
-    fields::visit(&event.kind, &mut |_, field| bytes += field.bytes());
+    fields::visit(&event.kind, &mut |_, field| bytes += field.extra_bytes());
     bytes
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // A panic elsewhere leaves whole events behind, which are still worth reading.
+    // Events are never partially written, so the log stays usable after a panic in another thread.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/timeline/src/query.rs
+++ b/crates/timeline/src/query.rs
@@ -1,4 +1,4 @@
-//! Questions to the time line and the merge of the nodes' answers.
+//! Timeline queries and the merge of the nodes' results.
 
 use eelgrassmill_base::{GroupId, HostId, NodeId, RequestId, value};
 use smol_str::SmolStr;
@@ -6,112 +6,112 @@
 use crate::event::Event;
 use crate::fields::{self, Field};
 
-/// Events in an answer when the question names no limit.
+/// Maximum number of events when a query sets no limit.
 pub const DEFAULT_LIMIT: usize = 1_000;
-/// Most events in one node's answer.
+/// Upper bound on a query's limit.
 pub const MAX_LIMIT: usize = 10_000;
 
 value! { wire
-    /// Which events are asked for; all conditions given must hold.
+    /// A filter on events; all conditions that are set must match.
     #[derive(Default)]
     #[serde(default)]
     pub struct Query {
-        /// Not before this time, in milliseconds since 1970.
+        /// Events at or after this time, in milliseconds since the Unix epoch.
         pub since_ms: Option<u64>,
-        /// That name this group.
+        /// Events that refer to this group.
         pub group: Option<GroupId>,
-        /// That name this host.
+        /// Events that refer to this host.
         pub host: Option<HostId>,
-        /// That name this request.
+        /// Events that refer to this request.
         pub request: Option<RequestId>,
-        /// Seen by this node, or about it.
+        /// Events recorded by this node, or with it as the peer.
         pub node: Option<NodeId>,
-        /// At most so many, the last ones; [`DEFAULT_LIMIT`] when left out.
+        /// Maximum number of events, of which the newest are returned; [`DEFAULT_LIMIT`] if unset.
         pub limit: Option<usize>,
     }
 
-    /// One node's answer.
+    /// One node's events that match a query.
     pub struct NodeEvents {
         /// The node.
         pub node: NodeId,
-        /// Its events, in order.
+        /// The matching events, ordered by timestamp.
         pub events: Vec<Event>,
-        /// Events that its bounds have pushed out since it started.
+        /// Number of events that the node has evicted since it started, matching or not.
         pub dropped: u64,
     }
 
-    /// The answers of all nodes as one.
+    /// The merged events of all nodes.
     pub struct Timeline {
-        /// All events in causal order.
+        /// The events in causal order.
         pub events: Vec<Event>,
-        /// Nodes that were asked and didn't answer: their events are missing here.
+        /// Nodes that were queried but did not respond; their events are missing.
         pub silent: Vec<NodeId>,
-        /// Nodes that have pushed older events out, and how many.
+        /// Nodes that have evicted older events, and how many.
         pub dropped: Vec<(NodeId, u64)>,
     }
 }
 
 impl Query {
-    /// Events to give at most.
+    /// The effective limit, at most [`MAX_LIMIT`].
     pub fn limit(&self) -> usize {
         self.limit.unwrap_or(DEFAULT_LIMIT).min(MAX_LIMIT)
     }
 
-    /// Whether `event` meets all conditions but the limit.
+    /// Whether `event` matches all conditions; the limit is not considered.
     pub fn matches(&self, event: &Event) -> bool {
         if self.since_ms.is_some_and(|since| event.hlc.wall_ms < since) {
             return false;
         }
-        let names = |wanted: &Option<SmolStr>, fields: &[&str]| {
+        let matches_field = |wanted: &Option<SmolStr>, fields: &[&str]| {
             wanted
                 .as_ref()
                 .is_none_or(|name| has_field(event, fields, name))
         };
-        let by_node = match &self.node {
+        let matches_node = match &self.node {
             Some(node) => event.node == *node || has_field(event, &["peer"], node),
             None => true,
         };
-        by_node
-            && names(&self.group, &["group"])
-            && names(&self.host, &["host", "members"])
-            && names(&self.request, &["request"])
+        matches_node
+            && matches_field(&self.group, &["group"])
+            && matches_field(&self.host, &["host", "members"])
+            && matches_field(&self.request, &["request"])
     }
 }
 
 fn has_field(event: &Event, names: &[&str], wanted: &str) -> bool {
     let mut found = false;
     fields::visit(&event.kind, &mut |name, field: Field<'_>| {
-        found |= names.contains(&name) && field.is(wanted);
+        found |= names.contains(&name) && field.matches(wanted);
     });
     found
 }
 
-/// Puts the answers of the nodes that were asked into one order.
+/// Merges the results of several nodes into one timeline with the newest `limit` events.
 ///
-/// `asked` are all nodes that should have answered; events of two nodes with
-/// the same stamp have no causal order and come in that of the nodes' names.
+/// `queried` are all nodes that were expected to respond. Events of two nodes with the
+/// same timestamp have no causal order and are sorted by node name.
 pub fn merge(
-    asked: impl IntoIterator<Item = NodeId>,
-    answers: impl IntoIterator<Item = NodeEvents>,
+    queried: impl IntoIterator<Item = NodeId>,
+    results: impl IntoIterator<Item = NodeEvents>,
     limit: usize,
 ) -> Timeline {
-    let mut silent: Vec<NodeId> = asked.into_iter().collect();
+    let mut silent: Vec<NodeId> = queried.into_iter().collect();
     silent.sort();
     silent.dedup();
     let mut events = Vec::new();
     let mut dropped = Vec::new();
-    for answer in answers {
-        silent.retain(|node| *node != answer.node);
-        if answer.dropped > 0 {
-            dropped.push((answer.node, answer.dropped));
+    for result in results {
+        silent.retain(|node| *node != result.node);
+        if result.dropped > 0 {
+            dropped.push((result.node, result.dropped));
         }
-        events.extend(answer.events);
+        events.extend(result.events);
     }
     events.sort_by(|a: &Event, b| (a.hlc, &a.node).cmp(&(b.hlc, &b.node)));
-    // A node that answers twice, say over two ways, must not double its events.
+    // A node may respond twice, for example over two connections.
     events.dedup_by(|a, b| (a.hlc, &a.node, a.incarnation) == (b.hlc, &b.node, b.incarnation));
-    let surplus = events.len().saturating_sub(limit);
-    events.drain(..surplus);
+    let excess = events.len().saturating_sub(limit);
+    events.drain(..excess);
     dropped.sort();
     dropped.dedup();
     Timeline {
