--- a/crates/timeline/src/event.rs
+++ b/crates/timeline/src/event.rs
@@ -1,4 +1,4 @@
-//! Events: every change of state that a promise of the system is about.
+//! Event types: every state change that is relevant to one of the system's guarantees.
 
 use eelgrassmill_base::{
     ConfigVersion, Epoch, Fence, GroupId, HostId, Incarnation, ModelVersion, NodeId, OrderKind,
@@ -9,117 +9,117 @@
 use crate::hlc::Hlc;
 
 value! { wire
-    /// One event.
+    /// A recorded event.
     pub struct Event {
-        /// When, in causal order.
+        /// Timestamp; orders events causally.
         pub hlc: Hlc,
-        /// The node that saw it.
+        /// The node that recorded it.
         pub node: NodeId,
-        /// Which start of that node.
+        /// Incarnation of that node, one per start of its process.
         pub incarnation: Incarnation,
-        /// What happened.
+        /// Type and fields.
         #[serde(flatten)]
         pub kind: EventKind,
     }
 
-    /// What happened.
+    /// Type and fields of an event.
     #[serde(tag = "event", rename_all = "kebab-case")]
     pub enum EventKind {
-        /// This node committed a text as the next version.
+        /// This node committed a submitted configuration as the next version.
         ConfigAccepted {
-            /// The version it became.
+            /// The version assigned to it.
             version: ConfigVersion,
             /// Who submitted it.
             author: SmolStr,
-            /// The submission.
+            /// ID of the submission.
             submit: SubmitId,
         },
-        /// This node has a version in force.
+        /// This node applied a configuration version.
         ConfigApplied {
-            /// The version before.
+            /// The previous version.
             from: ConfigVersion,
-            /// The version now.
+            /// The version now in effect.
             to: ConfigVersion,
         },
-        /// An offered version was not applied.
+        /// A configuration version was rejected by this node.
         ConfigRefused {
-            /// The version offered.
+            /// The rejected version.
             version: ConfigVersion,
-            /// Why.
+            /// The reason.
             reason: SmolStr,
         },
-        /// This node holds its lease.
+        /// This node acquired its lease.
         LeaseTaken {},
-        /// This node no longer holds its lease and gives no orders.
+        /// This node lost its lease and sends no more orders.
         LeaseLost {
-            /// Why.
+            /// The reason.
             reason: SmolStr,
         },
-        /// This node decides formations of its region now.
+        /// This node became the planner of its region, which decides group formations.
         PlannerTaken {
             /// The region.
             region: Region,
-            /// The node that did before, if any.
+            /// The previous planner, if any.
             from: Option<NodeId>,
         },
-        /// This node no longer decides formations of its region.
+        /// This node is no longer the planner of its region.
         PlannerLost {
             /// The region.
             region: Region,
         },
-        /// A node is known and reachable.
+        /// A peer was discovered and is reachable.
         NodeJoined {
-            /// The node.
+            /// The peer.
             peer: NodeId,
         },
-        /// A node left or is no longer heard from.
+        /// A peer left or stopped responding.
         NodeLeft {
-            /// The node.
+            /// The peer.
             peer: NodeId,
-            /// Why.
+            /// The reason.
             reason: SmolStr,
         },
-        /// This node stops: callers are sent elsewhere, what runs may end.
+        /// This node began a graceful shutdown: callers are sent to other nodes, running requests may finish.
         NodeStopping {},
-        /// A formation was committed; its members are about to be told.
+        /// A group formation was committed; its members have not been sent orders yet.
         GroupForming {
             /// The group.
             group: GroupId,
             /// Its new epoch.
             epoch: Epoch,
-            /// The version to serve.
+            /// The model version to serve.
             version: ModelVersion,
-            /// Its members, the lead first.
+            /// Its members, with the lead first.
             members: Vec<HostId>,
         },
-        /// Fresh evidence says that every member is there: it serves.
+        /// Recent reports confirm every member; the group serves requests.
         GroupWhole {
             /// The group.
             group: GroupId,
             /// Its epoch.
             epoch: Epoch,
         },
-        /// It does not serve.
+        /// The group does not serve requests.
         GroupBroken {
             /// The group.
             group: GroupId,
             /// Its epoch.
             epoch: Epoch,
-            /// The member at fault, if one is.
+            /// The member that caused it, if any.
             host: Option<HostId>,
-            /// Why.
+            /// The reason.
             reason: SmolStr,
         },
-        /// A group is to end; its hosts are told to leave it.
+        /// A group is being dissolved; its hosts are ordered to leave it.
         GroupEnding {
             /// The group.
             group: GroupId,
             /// Its epoch.
             epoch: Epoch,
-            /// Why.
+            /// The reason.
             reason: SmolStr,
         },
-        /// A host was taken for a group.
+        /// A host was assigned to a group.
         HostTaken {
             /// The host.
             host: HostId,
@@ -128,58 +128,58 @@
             /// The group's epoch.
             epoch: Epoch,
         },
-        /// A host belongs to no group any more.
+        /// A host was released from its group.
         HostFreed {
             /// The host.
             host: HostId,
             /// The group it was in.
             group: GroupId,
-            /// How it is known to be free: its own report, or outlived.
+            /// Why it is known to be free: its own report, or `outlived` when its orders have expired.
             reason: SmolStr,
         },
-        /// An order is about to leave for a host.
+        /// An order is about to be sent to a host.
         OrderSent {
             /// The host.
             host: HostId,
-            /// The group meant.
+            /// The group that the order is about.
             group: GroupId,
             /// The group's epoch.
             epoch: Epoch,
-            /// The fencing number.
+            /// The fencing token.
             fence: Fence,
-            /// What is asked.
+            /// The kind of order.
             order: OrderKind,
         },
-        /// The host obeyed.
+        /// The host executed an order.
         OrderConfirmed {
             /// The host.
             host: HostId,
-            /// The group meant.
+            /// The group that the order is about.
             group: GroupId,
-            /// The fencing number.
+            /// The fencing token.
             fence: Fence,
         },
-        /// The host refused, or the order's sender had lost its lease meanwhile.
+        /// The host rejected an order, or its sender lost its lease in the meantime.
         OrderRefused {
             /// The host.
             host: HostId,
-            /// The group meant.
+            /// The group that the order is about.
             group: GroupId,
-            /// The fencing number.
+            /// The fencing token.
             fence: Fence,
-            /// Why.
+            /// The reason.
             reason: SmolStr,
         },
-        /// A target gets no new work.
+        /// A target is draining and gets no new requests.
         TargetLeaving {
-            /// The host it is on.
+            /// The target's host.
             host: HostId,
-            /// Who says so: host list, target or text.
+            /// What caused it: the host list, the target or the configuration.
             reason: SmolStr,
         },
-        /// A target came back or was seen for the first time.
+        /// A target became available, again or for the first time.
         TargetBack {
-            /// The host it is on.
+            /// The target's host.
             host: HostId,
         },
         /// A request was running on a target that crashed.
@@ -188,31 +188,31 @@
             request: RequestId,
             /// The target's host.
             host: HostId,
-            /// Crashes so far.
+            /// Number of crashes so far.
             crashes: u32,
         },
-        /// Requests alike are refused from now on, since they crash targets.
+        /// Requests like this one crash targets and are rejected from now on.
         SuspectNamed {
-            /// The request that gave the proof.
+            /// The request that confirmed the suspicion.
             request: RequestId,
-            /// Crashes that it was running in.
+            /// Number of crashes during which it was running.
             crashes: u32,
         },
-        /// A request that runs at most once was claimed.
+        /// An at-most-once request was claimed.
         ClaimMade {
             /// The request.
             request: RequestId,
             /// The service.
             service: ServiceName,
         },
-        /// A claim ended.
+        /// A claim was settled.
         ClaimSettled {
             /// The request.
             request: RequestId,
-            /// How: answered, not run or unknown.
+            /// The outcome: answered, not run or unknown.
             outcome: SmolStr,
         },
-        /// A request was taken in.
+        /// A request was admitted.
         RequestAdmitted {
             /// The request.
             request: RequestId,
@@ -231,45 +231,45 @@
             host: HostId,
             /// The group, for model services.
             group: Option<GroupId>,
-            /// Counted from 1.
+            /// Number of the attempt, starting at 1.
             attempt: u32,
         },
-        /// An attempt failed and another follows.
+        /// An attempt failed and will be retried.
         RequestRetried {
             /// The request.
             request: RequestId,
             /// The attempt that failed.
             attempt: u32,
-            /// Why.
+            /// The reason.
             reason: SmolStr,
         },
-        /// The whole answer went to the caller.
+        /// The complete response was sent to the caller.
         RequestAnswered {
             /// The request.
             request: RequestId,
-            /// The status of the answer.
+            /// HTTP status of the response.
             status: u16,
-            /// Time from admission, in milliseconds.
+            /// Time since admission, in milliseconds.
             took_ms: u64,
         },
-        /// The caller was told that there is no answer.
+        /// The request was rejected or failed, and the caller got an error response.
         RequestRefused {
             /// The request.
             request: RequestId,
-            /// The status of the answer.
+            /// HTTP status of the response.
             status: u16,
             /// `not-run` or `unknown`.
             outcome: SmolStr,
-            /// Why.
+            /// The reason.
             reason: SmolStr,
         },
     }
 }
 
-/// Which ring of the log an event goes to.
+/// Class of an event, which selects the ring buffer that stores it.
 ///
-/// Each has a bound of its own, so that a flood of one sort, requests above
-/// all, doesn't push out the few events that explain it.
+/// Each class has its own capacity, so that a burst of one class, typically
+/// requests, does not evict the few events that explain it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum EventClass {
     /// Configuration, leases, planners and nodes.
@@ -280,12 +280,12 @@
     Order,
     /// Targets, suspects and claims.
     Target,
-    /// Single requests.
+    /// Individual requests.
     Request,
 }
 
 impl EventClass {
-    /// All of them.
+    /// All classes, in declaration order.
     pub const ALL: [EventClass; 5] = [
         EventClass::Control,
         EventClass::Group,
@@ -296,7 +296,7 @@
 }
 
 impl EventKind {
-    /// The ring it goes to.
+    /// The class of the event.
     pub fn class(&self) -> EventClass {
         match self {
             EventKind::ConfigAccepted { .. }
@@ -332,7 +332,7 @@
         }
     }
 
-    /// Its name, the same in JSON, in text and in logs.
+    /// Name of the event, identical in JSON, text output and logs.
     pub fn name(&self) -> &'static str {
         match self {
             EventKind::ConfigAccepted { .. } => "config-accepted",
