--- a/crates/timeline/examples/footprint.rs
+++ b/crates/timeline/examples/footprint.rs
@@ -1,4 +1,4 @@
-//! What the event log of one node costs: memory, and time to keep and find an event.
+//! Measures the memory use of one node's event log, and the time to record and find an event.
 //!
 //! `cargo run --release -p eelgrassmill-timeline --example footprint`
 
@@ -7,42 +7,42 @@
 
 use eelgrassmill_timeline::{EventKind, EventLog, LogCapacity, Query};
 
-const ROUNDS: u32 = 10;
+const QUERY_ROUNDS: u32 = 10;
 
 fn main() {
-    println!("recorded     kept  counted B  resident B   keep     find   serialised B");
+    println!("recorded   stored  counted B  resident B record     find   serialised B");
     for requests in [1_000u64, 10_000, 100_000, 400_000] {
         measure(requests);
     }
 }
 
 fn measure(requests: u64) {
-    let before = resident();
+    let resident_before = resident_bytes();
     let log = EventLog::new("node-a", 1, LogCapacity::default());
     let start = Instant::now();
     let mut recorded = 0;
     for i in 0..requests {
         recorded += record(&log, i);
     }
-    let each = start.elapsed() / u32::try_from(recorded).unwrap_or(u32::MAX);
-    let grown = resident().saturating_sub(before);
+    let per_event = start.elapsed() / u32::try_from(recorded).unwrap_or(u32::MAX);
+    let resident_growth = resident_bytes().saturating_sub(resident_before);
     let query = Query {
         request: Some("node-a-1-7".into()),
         ..Query::default()
     };
-    let find = best(|| drop(black_box(log.query(&query))));
-    let answer = log.query(&Query::default());
-    let bytes = serde_json::to_vec(&answer).map_or(0, |v| v.len());
+    let find = shortest(|| drop(black_box(log.query(&query))));
+    let result = log.query(&Query::default());
+    let bytes = serde_json::to_vec(&result).map_or(0, |v| v.len());
     println!(
-        "{recorded:8} {:8} {:10} {grown:11} {:4}ns {:6}us {bytes:14}",
+        "{recorded:8} {:8} {:10} {resident_growth:11} {:4}ns {:6}us {bytes:14}",
         log.len(),
         log.bytes(),
-        each.as_nanos(),
+        per_event.as_nanos(),
         find.as_micros(),
     );
 }
 
-/// One request's events, and now and then a change of state.
+/// Records the events of one request, and a state change for every tenth; returns their number.
 fn record(log: &EventLog, i: u64) -> u64 {
     let request: smol_str::SmolStr = format!("node-a-1-{i}").into();
     log.record(
@@ -88,9 +88,9 @@
     4
 }
 
-fn best(mut work: impl FnMut()) -> Duration {
+fn shortest(mut work: impl FnMut()) -> Duration {
     let mut best = Duration::MAX;
-    for _ in 0..ROUNDS {
+    for _ in 0..QUERY_ROUNDS {
         let start = Instant::now();
         work();
         best = best.min(start.elapsed());
@@ -98,8 +98,8 @@
     best
 }
 
-/// Resident bytes of this process by the kernel's account; 0 where there is none.
-fn resident() -> u64 {
+/// Resident set size of this process from `/proc`; 0 if unavailable.
+fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|l| l.strip_prefix("VmRSS:"));
     let kib = line.and_then(|l| l.split_whitespace().next()?.parse::<u64>().ok());
--- a/crates/timeline/tests/timeline.rs
+++ b/crates/timeline/tests/timeline.rs
@@ -1,4 +1,4 @@
-//! Events in causal order, within their bounds, over all nodes.
+//! Tests of causal order, log capacity, queries and the merge over several nodes.
 
 use eelgrassmill_base::{NodeId, OrderKind, Urgency};
 use eelgrassmill_timeline::{
@@ -9,7 +9,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngSeed, TestRunner};
 
-const DAY: u64 = 1_772_000_000_000;
+const START_MS: u64 = 1_772_000_000_000;
 
 fn runner(seed: u64) -> TestRunner {
     TestRunner::new(ProptestConfig {
@@ -24,14 +24,14 @@
     EventLog::new(node, 1, LogCapacity::default())
 }
 
-fn whole(group: &str, epoch: u64) -> EventKind {
+fn group_whole(group: &str, epoch: u64) -> EventKind {
     EventKind::GroupWhole {
         group: group.into(),
         epoch,
     }
 }
 
-fn broken(group: &str, host: &str) -> EventKind {
+fn group_broken(group: &str, host: &str) -> EventKind {
     EventKind::GroupBroken {
         group: group.into(),
         epoch: 3,
@@ -40,7 +40,7 @@
     }
 }
 
-fn answered(request: &str) -> EventKind {
+fn request_answered(request: &str) -> EventKind {
     EventKind::RequestAnswered {
         request: request.into(),
         status: 200,
@@ -48,7 +48,7 @@
     }
 }
 
-fn one_of_each() -> Vec<EventKind> {
+fn one_event_of_each_kind() -> Vec<EventKind> {
     let json = r#"[
       {"event":"config-accepted","version":2,"author":"ada","submit":"s-1"},
       {"event":"config-applied","from":1,"to":2},
@@ -85,11 +85,11 @@
 }
 
 #[gtest]
-fn every_event_is_one_line_of_text_and_comes_back_from_json() {
+fn every_event_is_one_line_of_text_and_round_trips_through_json() {
     let log = log("node-a");
-    let events: Vec<Event> = one_of_each()
+    let events: Vec<Event> = one_event_of_each_kind()
         .into_iter()
-        .map(|kind| log.record(kind, DAY))
+        .map(|kind| log.record(kind, START_MS))
         .collect();
     for event in &events {
         let json = serde_json::to_string(event).unwrap();
@@ -110,25 +110,25 @@
 }
 
 #[gtest]
-fn dates_are_right_over_leap_years() {
-    let at = |wall_ms| {
+fn dates_are_correct_across_leap_years() {
+    let format = |wall_ms| {
         Hlc {
             wall_ms,
             counter: 0,
         }
         .to_string()
     };
-    expect_that!(at(0), eq("1970-01-01T00:00:00.000Z+0"));
-    expect_that!(at(951_782_400_000), eq("2000-02-29T00:00:00.000Z+0"));
-    expect_that!(at(1_709_251_199_999), eq("2024-02-29T23:59:59.999Z+0"));
-    expect_that!(at(4_107_542_400_000), eq("2100-03-01T00:00:00.000Z+0"));
+    expect_that!(format(0), eq("1970-01-01T00:00:00.000Z+0"));
+    expect_that!(format(951_782_400_000), eq("2000-02-29T00:00:00.000Z+0"));
+    expect_that!(format(1_709_251_199_999), eq("2024-02-29T23:59:59.999Z+0"));
+    expect_that!(format(4_107_542_400_000), eq("2100-03-01T00:00:00.000Z+0"));
 }
 
-/// Node B's wall clock runs far behind node A's. A's order reaches B, and B's
-/// confirmation must stand after it in the merged time line, or an operator
-/// reads that the host obeyed before it was told.
+/// Node B's wall clock is behind node A's. An event on B that follows from A's
+/// order must still sort after the order in the merged timeline; otherwise the
+/// host appears to have executed the order before it was sent.
 #[gtest]
-fn an_effect_stands_after_its_cause_though_clocks_differ() {
+fn an_effect_sorts_after_its_cause_despite_clock_skew() {
     let (a, b) = (log("node-a"), log("node-b"));
     let sent = EventKind::OrderSent {
         host: "h1".into(),
@@ -137,67 +137,69 @@
         fence: 7,
         order: OrderKind::Join,
     };
-    a.record(sent, DAY + 5_000);
-    b.observe(a.stamp(DAY + 5_001), DAY).unwrap();
-    b.record(whole("chat/0", 3), DAY + 1);
+    a.record(sent, START_MS + 5_000);
+    b.observe(a.stamp(START_MS + 5_001), START_MS).unwrap();
+    b.record(group_whole("chat/0", 3), START_MS + 1);
     let all = Query::default();
-    let line = merge(
+    let timeline = merge(
         ["node-a".into(), "node-b".into()],
         [b.query(&all), a.query(&all)],
         100,
     );
-    let names: Vec<&str> = line.events.iter().map(|e| e.kind.name()).collect();
+    let names: Vec<&str> = timeline.events.iter().map(|e| e.kind.name()).collect();
     expect_that!(names, elements_are![eq(&"order-sent"), eq(&"group-whole")]);
 }
 
-/// One node's wall clock is days ahead. If its stamps were taken over, every
-/// node's events would be dated in the future from then on.
+/// One node's wall clock is far ahead. If its timestamps were accepted, all later
+/// events of every node would be dated in the future.
 #[gtest]
-fn a_clock_too_far_ahead_is_not_followed() {
+fn timestamps_beyond_the_maximum_drift_are_rejected() {
     let mut clock = HlcClock::default();
-    let limit = u64::try_from(MAX_DRIFT.as_millis()).unwrap();
-    let far = Hlc {
-        wall_ms: DAY + limit + 1,
+    let max_drift_ms = u64::try_from(MAX_DRIFT.as_millis()).unwrap();
+    let beyond = Hlc {
+        wall_ms: START_MS + max_drift_ms + 1,
         counter: 0,
     };
-    expect_that!(clock.observe(far, DAY), err(anything()));
-    expect_that!(clock.tick(DAY).wall_ms, eq(DAY));
-    let near = Hlc {
-        wall_ms: DAY + limit,
+    expect_that!(clock.observe(beyond, START_MS), err(anything()));
+    expect_that!(clock.tick(START_MS).wall_ms, eq(START_MS));
+    let within = Hlc {
+        wall_ms: START_MS + max_drift_ms,
         counter: 9,
     };
-    expect_that!(clock.observe(near, DAY), ok(gt(near)));
+    expect_that!(clock.observe(within, START_MS), ok(gt(within)));
 }
 
 #[gtest]
-fn stamps_rise_and_never_stay_behind_what_was_seen() {
+fn timestamps_increase_and_exceed_every_observed_one() {
     let steps = prop::collection::vec(
         (0u64..50, prop::option::of((0u64..90, any::<u32>()))),
         1..40,
     );
-    let tested = runner(1).run(&steps, |steps| {
+    let result = runner(1).run(&steps, |steps| {
         let mut clock = HlcClock::default();
         let mut last = clock.last();
         for (wall_ms, remote) in steps {
-            let seen = remote.map(|(wall_ms, counter)| Hlc { wall_ms, counter });
-            let stamp = match seen {
-                Some(remote) => clock.observe(remote, wall_ms).expect("within the drift"),
+            let observed = remote.map(|(wall_ms, counter)| Hlc { wall_ms, counter });
+            let timestamp = match observed {
+                Some(remote) => clock
+                    .observe(remote, wall_ms)
+                    .expect("within the maximum drift"),
                 None => clock.tick(wall_ms),
             };
-            prop_assert!(stamp > last && stamp.wall_ms >= wall_ms);
-            prop_assert!(seen.is_none_or(|s| stamp > s));
-            last = stamp;
+            prop_assert!(timestamp > last && timestamp.wall_ms >= wall_ms);
+            prop_assert!(observed.is_none_or(|o| timestamp > o));
+            last = timestamp;
         }
         Ok(())
     });
-    expect_that!(tested, ok(anything()));
+    expect_that!(result, ok(anything()));
 }
 
-/// Thousands of requests run while one group breaks. The operator who looks
-/// afterwards must still find the break.
+/// A group breaks while thousands of requests run. Request events must not evict
+/// the event that reports the break.
 #[gtest]
-fn many_requests_do_not_push_out_changes_of_state() {
-    let bounds = LogCapacity {
+fn request_events_do_not_evict_state_changes() {
+    let capacity = LogCapacity {
         state: RingCapacity {
             events: 10,
             bytes: 10_000,
@@ -207,48 +209,48 @@
             bytes: 100_000,
         },
     };
-    let log = EventLog::new("node-a", 1, bounds);
-    log.record(broken("chat/0", "h1"), DAY);
+    let log = EventLog::new("node-a", 1, capacity);
+    log.record(group_broken("chat/0", "h1"), START_MS);
     for i in 0..1_000 {
-        log.record(answered(&format!("q{i}")), DAY + i);
+        log.record(request_answered(&format!("q{i}")), START_MS + i);
     }
-    let answer = log.query(&Query::default());
-    expect_that!(answer.events.len(), eq(51));
-    expect_that!(answer.dropped, eq(950));
-    expect_that!(answer.events[0].kind, eq(&broken("chat/0", "h1")));
+    let result = log.query(&Query::default());
+    expect_that!(result.events.len(), eq(51));
+    expect_that!(result.dropped, eq(950));
+    expect_that!(result.events[0].kind, eq(&group_broken("chat/0", "h1")));
 }
 
 #[gtest]
-fn bytes_are_bounded_whatever_the_events_hold() {
-    let bound = RingCapacity {
+fn total_size_stays_within_capacity_for_any_event_size() {
+    let capacity = RingCapacity {
         events: 1_000,
         bytes: 8_000,
     };
     let reasons = prop::collection::vec(0usize..3_000, 1..60);
-    let tested = runner(2).run(&reasons, |reasons| {
+    let result = runner(2).run(&reasons, |reasons| {
         let log = EventLog::new(
             "node-a",
             1,
             LogCapacity {
-                state: bound,
-                requests: bound,
+                state: capacity,
+                requests: capacity,
             },
         );
         for length in reasons {
             let reason = "x".repeat(length).into();
-            log.record(EventKind::LeaseLost { reason }, DAY);
+            log.record(EventKind::LeaseLost { reason }, START_MS);
         }
-        prop_assert!(log.bytes() <= bound.bytes && !log.is_empty());
+        prop_assert!(log.bytes() <= capacity.bytes && !log.is_empty());
         Ok(())
     });
-    expect_that!(tested, ok(anything()));
+    expect_that!(result, ok(anything()));
 }
 
 #[gtest]
-fn a_question_finds_what_names_its_group_host_request_or_node() {
+fn queries_filter_by_group_host_request_node_and_time() {
     let log = log("node-a");
-    for kind in one_of_each() {
-        log.record(kind, DAY);
+    for kind in one_event_of_each_kind() {
+        log.record(kind, START_MS);
     }
     let count = |query: Query| log.query(&query).events.len();
     expect_that!(
@@ -281,7 +283,7 @@
     );
     expect_that!(
         count(Query {
-            since_ms: Some(DAY + 1),
+            since_ms: Some(START_MS + 1),
             ..Query::default()
         }),
         eq(0)
@@ -298,32 +300,32 @@
 }
 
 #[gtest]
-fn silent_nodes_are_named_and_doubled_answers_are_not_doubled() {
+fn silent_nodes_are_listed_and_duplicate_results_are_merged() {
     let a = log("node-a");
-    a.record(answered("q1"), DAY);
+    a.record(request_answered("q1"), START_MS);
     let all = Query::default();
-    let asked: Vec<NodeId> = vec!["node-b".into(), "node-a".into()];
-    let line = merge(asked, [a.query(&all), a.query(&all)], 100);
-    expect_that!(line.events.len(), eq(1));
-    expect_that!(line.silent, elements_are![eq(&NodeId::from("node-b"))]);
+    let queried: Vec<NodeId> = vec!["node-b".into(), "node-a".into()];
+    let timeline = merge(queried, [a.query(&all), a.query(&all)], 100);
+    expect_that!(timeline.events.len(), eq(1));
+    expect_that!(timeline.silent, elements_are![eq(&NodeId::from("node-b"))]);
 }
 
 #[gtest]
-fn threads_record_at_once_and_each_ring_stays_in_order() {
+fn events_recorded_concurrently_stay_ordered() {
     let log = log("node-a");
     std::thread::scope(|scope| {
         for t in 0..4 {
             let log = &log;
             scope.spawn(move || {
                 for i in 0..200 {
-                    log.record(whole("chat/0", t * 1_000 + i), DAY);
+                    log.record(group_whole("chat/0", t * 1_000 + i), START_MS);
                     let admitted = EventKind::RequestAdmitted {
                         request: format!("q{t}-{i}").into(),
                         tenant: "baths".into(),
                         service: "chat".into(),
                         urgency: Urgency::DEFAULT,
                     };
-                    log.record(admitted, DAY);
+                    log.record(admitted, START_MS);
                 }
             });
         }
