--- a/crates/timeline/src/event.rs
+++ b/crates/timeline/src/event.rs
@@ -79,7 +79,8 @@
             /// The reason.
             reason: SmolStr,
         },
-        /// This node began a graceful shutdown: callers are sent to other nodes, running requests may finish.
+        /// This node began a graceful shutdown: callers are sent to other nodes,
+        /// running requests may finish.
         NodeStopping {},
         /// A group formation was committed; its members have not been sent orders yet.
         GroupForming {
@@ -134,7 +135,8 @@
             host: HostId,
             /// The group it was in.
             group: GroupId,
-            /// Why it is known to be free: its own report, or `outlived` when its orders have expired.
+            /// Why it is known to be free: its own report, or
+            /// `outlived` when its orders have expired.
             reason: SmolStr,
         },
         /// An order is about to be sent to a host.
--- a/crates/timeline/src/hlc.rs
+++ b/crates/timeline/src/hlc.rs
@@ -32,7 +32,9 @@
     pub ahead_ms: u64,
 }
 
-/// The hybrid logical clock of one node. Wall times are passed in, in milliseconds since the Unix epoch.
+/// The hybrid logical clock of one node.
+///
+/// Callers pass in wall times, in milliseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct HlcClock {
     last: Hlc,
--- a/crates/timeline/src/log.rs
+++ b/crates/timeline/src/log.rs
@@ -21,9 +21,9 @@
 
     /// Capacity of an event log.
     pub struct LogCapacity {
-        /// Of each ring of state changes.
+        /// Capacity of each ring of state changes.
         pub state: RingCapacity,
-        /// Of the ring of request events.
+        /// Capacity of the ring of request events.
         pub requests: RingCapacity,
     }
 }
@@ -116,7 +116,8 @@
         lock(&self.clock).tick(wall_ms)
     }
 
-    /// Returns the events that match `query`, ordered by timestamp; beyond the limit, only the newest.
+    /// Returns the events that match `query`, ordered by timestamp;
+    /// beyond the limit, only the newest.
     pub fn query(&self, query: &Query) -> NodeEvents {
         let limit = query.limit();
         let mut events = Vec::new();
--- a/crates/timeline/src/text.rs
+++ b/crates/timeline/src/text.rs
@@ -62,7 +62,8 @@
 
 /// Converts days since 1970-01-01 to year, month and day (proleptic Gregorian calendar).
 ///
-/// Counts in 400-year eras whose years start in March, so that a leap day is the last day of its year.
+/// Counts in 400-year eras whose years start in March, so that a leap
+/// day is the last day of its year.
 fn civil_date(days: u64) -> (u64, u64, u64) {
     let days_since_era_0 = days + 719_468;
     let (era, day_of_era) = (days_since_era_0 / 146_097, days_since_era_0 % 146_097);
