--- a/crates/base/src/shutdown.rs
+++ b/crates/base/src/shutdown.rs
@@ -1,45 +1,45 @@
-//! The times of a process that was told to stop.
+//! Deadlines of a graceful shutdown.
 
 use std::time::{Duration, Instant};
 
 use crate::value;
 
 value! { copy
-    /// When a process that was told to stop does what.
+    /// Deadlines of a graceful shutdown: when to stop accepting and when to stop draining.
     pub struct Shutdown {
-        /// Until then it takes connections.
-        closes: Instant,
-        /// Until then what runs may end. Invariant: not before `closes`.
-        ends: Instant,
+        /// New connections are accepted until then.
+        accept_until: Instant,
+        /// In-flight requests may finish until then. Invariant: not before `accept_until`.
+        drain_until: Instant,
     }
 }
 
 impl Shutdown {
-    /// The shutdown of a process that was told to stop at `told`: it takes connections for
-    /// `open`, and ends after `all`.
-    pub fn new(told: Instant, open: Duration, all: Duration) -> Shutdown {
+    /// Returns the deadlines of a process that was signalled at `signalled_at`: it accepts
+    /// connections for `accept_time`, at most `total_time`, and drains for `total_time`.
+    pub fn new(signalled_at: Instant, accept_time: Duration, total_time: Duration) -> Shutdown {
         Shutdown {
-            closes: told + open.min(all),
-            ends: told + all,
+            accept_until: signalled_at + accept_time.min(total_time),
+            drain_until: signalled_at + total_time,
         }
     }
 
-    /// Until when it takes connections.
-    pub fn closes(&self) -> Instant {
-        self.closes
+    /// Returns when to stop accepting connections.
+    pub fn accept_until(&self) -> Instant {
+        self.accept_until
     }
 
-    /// Until when what runs may end.
-    pub fn ends(&self) -> Instant {
-        self.ends
+    /// Returns when to stop waiting for in-flight requests.
+    pub fn drain_until(&self) -> Instant {
+        self.drain_until
     }
 
-    /// Whether it may begin what can last until `deadline`.
+    /// Returns whether a request with this deadline may start.
     ///
-    /// A request can take all the time that its caller gives it, most of it in the queue of a
-    /// host that is full. One that is begun because requests usually take less breaks off in
-    /// the middle when the process exits; refused, its caller asks another process at once.
+    /// A request can use all the time up to its deadline, mostly queued for a host that is at
+    /// capacity. One that starts because requests usually take less is cut off when the process
+    /// exits; one that is refused can be retried at another process at once.
     pub fn may_begin(&self, deadline: Instant) -> bool {
-        deadline <= self.ends
+        deadline <= self.drain_until
     }
 }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -88,7 +88,7 @@
         let shutdown = self.core.begin_shutdown(self.shutdown_from(Instant::now()));
         peers::publish_status(&self.core);
         info!(event = "stop", connections = self.connections.count());
-        self.wait_drained(shutdown.closes()).await;
+        self.wait_drained(shutdown.accept_until()).await;
         self.core.stopping.send_replace(true);
         self.wait_port_closed().await;
         info!(
@@ -96,10 +96,11 @@
             outcome = "port closed",
             connections = self.connections.count()
         );
-        let done = self.wait_drained(shutdown.ends()).await;
+        let done = self.wait_drained(shutdown.drain_until()).await;
         if !done {
             self.core.signal_exit();
-            self.wait_drained(shutdown.ends() + SHUTDOWN_NOTICE).await;
+            self.wait_drained(shutdown.drain_until() + SHUTDOWN_NOTICE)
+                .await;
         }
         self.peer.stop();
         done
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -224,9 +224,9 @@
         self.core.begin_leaving(shutdown);
         self.warn_of_long_services();
         publish_status(&self.core, &self.peer);
-        std::thread::sleep(until(shutdown.closes()));
+        std::thread::sleep(until(shutdown.accept_until()));
         self.stop_entry.send_replace(true);
-        let finished = self.finish_requests(shutdown.ends());
+        let finished = self.finish_requests(shutdown.drain_until());
         if !finished {
             self.core.metrics.promise_broken(Promise::GracefulStop);
         }
