--- a/crates/base/src/hash.rs
+++ b/crates/base/src/hash.rs
@@ -1,6 +1,7 @@
-//! Hashes that every node computes alike.
+//! Hash functions with the same result on every node.
 
-/// Hashes `parts` in order to the same number on every node and build (FNV-1a, 64 bits).
+/// Hashes `parts` in order; the result is the same on every node and build (64-bit FNV-1a with
+/// a finalizer).
 ///
 /// The standard library's hasher is seeded per process, so two nodes would
 /// disagree about which of them watches a group.
@@ -15,15 +16,15 @@
             hash = hash.wrapping_mul(PRIME);
         }
     }
-    // FNV mixes the last bytes weakly; the finisher spreads them over all bits.
+    // FNV mixes the last bytes weakly; the finalizer spreads them over all bits.
     hash ^= hash >> 33;
     hash = hash.wrapping_mul(0xff51_afd7_ed55_8ccd);
     hash ^ (hash >> 33)
 }
 
-/// Orders `candidates` by rendezvous hashing for `key`, the best first.
+/// Ranks `candidates` for `key` by rendezvous hashing, highest score first.
 ///
-/// When a candidate leaves, only the keys it was first for move.
+/// When a candidate is removed, only the keys that ranked it first move.
 pub fn rendezvous<'a, T: AsRef<str>>(
     key: &str,
     candidates: impl IntoIterator<Item = &'a T>,
--- a/crates/base/src/host.rs
+++ b/crates/base/src/host.rs
@@ -1,4 +1,4 @@
-//! What the platform says of hosts, what hosts say of themselves, and the orders they take.
+//! Host list entries, host reports, and orders to hosts.
 
 use smol_str::SmolStr;
 
@@ -8,105 +8,106 @@
 };
 
 value! { wire copy
-    /// What the host list says of a host.
+    /// State of a host in the host list.
     pub enum HostState {
-        /// It takes work.
+        /// Accepts work.
         Live,
-        /// It is to be taken away: nothing new, what runs may end.
+        /// Being removed: accepts nothing new, and running requests may finish.
         Leaving,
     }
 
-    /// What kind of target a host runs.
+    /// Kind of target that a host runs.
     pub enum TargetKind {
-        /// A model engine, which is a member of model groups.
+        /// A model engine, which serves as a member of model groups.
         Engine,
-        /// A plain service, which answers on its own.
+        /// A plain service, which answers without a group.
         Plain,
     }
 
-    /// What an order asks of a host.
+    /// Action that an order requests.
     pub enum OrderKind {
-        /// Become a member of the group, loading the version if need be.
+        /// Join the group, loading the model version if it is not loaded.
         Join,
-        /// Leave the group and hold nothing for it.
+        /// Leave the group and release everything held for it.
         Leave,
     }
 }
 
 value! { wire
-    /// One line of the platform's host list.
+    /// One entry of the platform's host list.
     pub struct HostEntry {
-        /// Its name.
+        /// Unique name of the host.
         pub id: HostId,
-        /// `IP:PORT` of the target on it.
+        /// `IP:PORT` of the host's target.
         pub address: SmolStr,
-        /// What it runs.
+        /// Kind of target it runs.
         pub kind: TargetKind,
-        /// Its region.
+        /// Region the host is in.
         pub region: Region,
-        /// Its failure domain.
+        /// Hosts in one failure domain can fail together.
         pub failure_domain: FailureDomain,
-        /// Its fabric domain.
+        /// Hosts in one fabric domain communicate at full bandwidth.
         pub fabric_domain: FabricDomain,
-        /// How many accelerators it has; 0 for plain services.
+        /// Number of accelerators; 0 for plain services.
         pub accelerators: u32,
-        /// Whether it takes work. The list lags by seconds.
+        /// Whether it is live or being removed. The list lags by seconds.
         pub state: HostState,
     }
 
-    /// Where a host belongs, as the host itself holds it or as an order asks it to.
+    /// Group membership of a host, as the host reports it or as an order requests it.
     pub struct Placement {
-        /// The group.
+        /// Group the host belongs to.
         pub group: GroupId,
-        /// The group's epoch.
+        /// Epoch of the group's membership.
         pub epoch: Epoch,
-        /// The model to serve.
+        /// Model to serve.
         pub model: ModelName,
-        /// Its version.
+        /// Version of the model.
         pub version: ModelVersion,
-        /// All members, the lead (rank 0) first.
+        /// All members, with the lead (rank 0) first.
         pub members: Vec<HostId>,
     }
 
-    /// A host's own account of itself, answered to a probe.
+    /// State that a host reports in response to a probe.
     pub struct HostReport {
-        /// Its name, so that a report that reached the wrong prober is noticed.
+        /// Name of the reporting host; detects a report that reached the wrong prober.
         pub host: HostId,
-        /// This start of the host. A host that restarted holds nothing.
+        /// Identifies this start of the host. A restarted host holds nothing.
         pub incarnation: Incarnation,
-        /// The group it belongs to, if any.
+        /// Current group membership, if any.
         pub placement: Option<Placement>,
-        /// Whether it has loaded what the placement asks for.
+        /// Whether the model version of the placement is loaded.
         pub ready: bool,
-        /// The highest fencing number it has obeyed.
+        /// Highest fencing token among the orders it has accepted.
         pub fence: Fence,
-        /// The target's own word that it is leaving.
+        /// Whether the target itself reports that it is shutting down.
         pub leaving: bool,
-        /// Requests it runs now; engines report this with a lag.
+        /// Number of running requests; engines report it with a lag.
         pub running: u32,
-        /// Model versions whose weights it still holds, `MODEL@VERSION`.
+        /// Model versions whose weights are still held, as `MODEL@VERSION`.
         pub warm: Vec<SmolStr>,
     }
 
-    /// An order to a host.
+    /// A request that a host join or leave a group.
     pub struct Order {
-        /// The host it is for.
+        /// Host the order is addressed to.
         pub host: HostId,
-        /// What is asked.
+        /// Requested action.
         pub kind: OrderKind,
-        /// The group meant; for `Leave` only its group and epoch count.
+        /// Membership to join or leave; for `Leave` only `group` and `epoch` are used.
         pub placement: Placement,
-        /// The fencing number. Invariant: rises with every order the table allows for a host.
+        /// Fencing token. Invariant: increases with every order that the table service permits for a
+        /// host.
         pub fence: Fence,
-        /// Who sends it.
+        /// Node that sends the order.
         pub from: NodeId,
     }
 
-    /// What a host answers to an order.
+    /// Response of a host to an order.
     pub enum OrderReply {
-        /// Obeyed; the report is from after it.
+        /// The host accepted the order; the report was made afterwards.
         Obeyed(HostReport),
-        /// Refused, since it has obeyed a higher fencing number.
+        /// Refused: the host has accepted an order with this higher fencing token.
         Fenced(Fence),
     }
 }
--- a/crates/base/src/ids.rs
+++ b/crates/base/src/ids.rs
@@ -1,8 +1,8 @@
-//! Aliases for ids and counters.
+//! Type aliases for ids and counters.
 //!
-//! They are aliases and not wrappers because the same short strings travel
-//! through text, HTTP, tonic and the table service; the names below say which
-//! one a signature means.
+//! They are aliases and not newtypes because the same short strings pass
+//! through text, HTTP, tonic and the table service; the aliases document which
+//! one a signature takes.
 
 use smol_str::SmolStr;
 
@@ -12,34 +12,34 @@
 pub type NodeId = SmolStr;
 /// Names one model group, `SERVICE/INDEX`.
 pub type GroupId = SmolStr;
-/// Names a service in the operators' text.
+/// Names a service in the operators' configuration.
 pub type ServiceName = SmolStr;
-/// Names a tenant in the operators' text.
+/// Names a tenant in the operators' configuration.
 pub type TenantId = SmolStr;
 /// Names a model in the weight store.
 pub type ModelName = SmolStr;
 /// Names a version of a model in the weight store.
 pub type ModelVersion = SmolStr;
-/// Names a failure domain: what can lose power or network as one.
+/// Names a failure domain: hosts that can lose power or network together.
 pub type FailureDomain = SmolStr;
-/// Names a fabric domain: hosts within it reach each other at full speed.
+/// Names a fabric domain: hosts within it communicate at full bandwidth.
 pub type FabricDomain = SmolStr;
 /// Names a region.
 pub type Region = SmolStr;
-/// Names one attempt-independent request, unique over all nodes.
+/// Names one request, the same for all its attempts; unique across all nodes.
 pub type RequestId = SmolStr;
-/// The caller's key for a request that must run at most once.
+/// Chosen by the caller for a request that must run at most once.
 pub type IdempotencyKey = SmolStr;
 /// Names one submission of a configuration, chosen by the submitter.
 pub type SubmitId = SmolStr;
 /// Names one transaction of the table service.
 pub type TxnId = SmolStr;
 
-/// Counts the formations of one group; rises with every change of members.
+/// Generation of one group's membership; increases with every change of members.
 pub type Epoch = u64;
-/// Fencing number of an order; a host that checks refuses a lower one.
+/// Fencing token of an order; a host that checks it refuses a lower one.
 pub type Fence = u64;
-/// Distinguishes the starts of one process or host; a later start has a higher one.
+/// Distinguishes the starts of one process or host; increases with every start.
 pub type Incarnation = u64;
 /// Counts accepted configurations.
 pub type ConfigVersion = u64;
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,8 +1,8 @@
 //! Ids, shared value types and the derive macro used by every eelgrassmill crate.
 //!
-//! This crate is the vocabulary of the system: no I/O and no clock. Two crates that must
-//! agree on what a host report, an order or a shutdown is find it here, so that neither has
-//! to depend on the other.
+//! Types that several crates share, such as host reports, orders and shutdown deadlines, are
+//! defined here so that those crates need not depend on each other. The crate does no I/O and
+//! reads no clock.
 
 mod hash;
 mod host;
--- a/crates/base/src/macros.rs
+++ b/crates/base/src/macros.rs
@@ -1,13 +1,14 @@
-//! The derive macro for plain values.
+//! The `value!` macro, which derives the common traits.
 
-/// Declares plain value types with the traits that nearly all of them want.
+/// Declares plain value types with a standard set of derives.
 ///
-/// `value! { ... }` gives `Clone`, `Debug`, `PartialEq` and `Eq`;
+/// `value! { ... }` derives `Clone`, `Debug`, `PartialEq` and `Eq`;
 /// `value! { copy ... }` adds `Copy`, `Hash` and the ordering traits;
-/// `value! { wire ... }` gives the first set and serde's two traits.
+/// `value! { wire ... }` adds `Serialize` and `Deserialize` to the first set;
+/// `value! { wire copy ... }` adds both, with kebab-case names.
 ///
-/// One list in one place keeps the derives of a type from being whatever its
-/// first user happened to need.
+/// Keeping the lists in one place gives every type the same derives, whatever
+/// its first user needed.
 #[macro_export]
 macro_rules! value {
     (copy $($item:item)+) => {
--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -1,15 +1,15 @@
-//! What a caller is told of its request.
+//! Request outcomes and request urgency.
 
 use crate::value;
 
 value! { wire copy
-    /// What became of a request that did not end in a plain answer.
+    /// Whether a request ran, as reported to the caller with a response that is not a plain answer.
     pub enum Outcome {
-        /// No byte of it left for a target, or the target said that it refused it.
+        /// No byte of it was sent to a target, or the target reported that it refused it.
         NotRun,
-        /// It may have run; nobody can tell.
+        /// It may have run; this cannot be determined.
         Unknown,
-        /// It ran, and this is the answer.
+        /// It ran, and the response carries its answer.
         Answered,
     }
 }
@@ -21,12 +21,12 @@
 }
 
 impl Urgency {
-    /// What a request without a `Priority` header has.
+    /// Urgency of a request without a `Priority` header.
     pub const DEFAULT: Urgency = Urgency(3);
-    /// Requests this urgent or more use the slots held back for urgent work.
+    /// Requests at least this urgent may use the slots reserved for urgent requests.
     pub const URGENT: Urgency = Urgency(1);
 
-    /// Whether the request counts as urgent.
+    /// Returns whether the request may use the slots reserved for urgent requests.
     pub fn is_urgent(self) -> bool {
         self <= Urgency::URGENT
     }
