--- a/crates/fleet/src/catalog.rs
+++ b/crates/fleet/src/catalog.rs
@@ -15,7 +15,7 @@
     pub enum RetryPolicy {
     /// Repeated execution is harmless.
     Idempotent,
-    /// The request is executed at most once per attempt of its caller.
+        /// The request is executed at most once per attempt of its caller.
         AtMostOnce,
     }
 }
@@ -83,7 +83,7 @@
     pub loads_per_ks: u64,
     /// Number of concurrent loads beyond which each load takes longer.
     pub max_concurrent_loads: usize,
-    /// Speed of a replica whose model has a time factor of 1.
+        /// Speed of a replica whose model has a time factor of 1.
         pub speed: EngineSpeed,
     }
 
@@ -107,7 +107,7 @@
     pub body_bytes: usize,
     /// Timeout for receiving a request head.
     pub header_timeout: Duration,
-    /// Idle time after which a connection may be closed.
+        /// Idle time after which a connection may be closed.
         pub idle_timeout: Duration,
     }
 
@@ -115,7 +115,7 @@
     pub struct Caller {
     /// The tenant.
     pub tenant: TenantId,
-    /// Overrides the route's urgency if set.
+        /// Overrides the route's urgency if set.
         pub urgency: Option<u8>,
     }
 }
--- a/crates/fleet/src/host.rs
+++ b/crates/fleet/src/host.rs
@@ -11,7 +11,7 @@
     pub enum HostState {
     /// It accepts new work.
     Ready,
-    /// It finishes its work and shuts down.
+        /// It finishes its work and shuts down.
         Leaving,
     }
 
--- a/crates/fleet/src/schedule.rs
+++ b/crates/fleet/src/schedule.rs
@@ -70,7 +70,7 @@
     pub key: HeadKey,
     /// Its host.
     pub host: HostId,
-    /// Maximum number of concurrent requests.
+        /// Maximum number of concurrent requests.
         pub slots: usize,
         /// Its failure domain.
         pub failure_domain: FailureDomain,
@@ -90,7 +90,7 @@
     pub failure_domain: FailureDomain,
     /// Prompt tokens to prefill.
     pub prompt_tokens: u64,
-    /// Whether it resumes a stream whose replica was lost.
+        /// Whether it resumes a stream whose replica was lost.
         pub resumed: bool,
         /// 0 is the most urgent.
         pub urgency: u8,
@@ -110,7 +110,7 @@
     pub enum SlotOutcome {
     /// The request gets a slot at this head.
     Granted(HeadKey),
-    /// The request is rejected, since no slot is or will be free in time.
+        /// The request is rejected, since no slot is or will be free in time.
         Full,
     }
 }
@@ -120,7 +120,7 @@
     pub struct HeadLoad {
     /// Requests at the head.
     pub requests: usize,
-    /// Whether it is ejected because it rejects all requests.
+        /// Whether it is ejected because it rejects all requests.
         pub is_ejected: bool,
     }
 
@@ -137,7 +137,7 @@
     pub rejecting: usize,
     /// Queued requests.
     pub waiting: usize,
-    /// Moving average of the time from a grant to its first event.
+        /// Moving average of the time from a grant to its first event.
         pub first_event_latency: Duration,
     }
 }
